--- a/packages/sycamore-core/src/sycamore_core/decisions/admission.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/admission.py
@@ -1,20 +1,22 @@
-"""Who is let into the queue, who is refused, and when to come back.
+"""Admission control: admits a request to the queue or refuses it.
 
 Load pattern: more work than the fleet can do, for seconds or for hours.
 
-Without it: the queue grows until every request is served after its caller has
-gone; engines are full and nothing arrives in time, and after the burst the
-fleet works off answers that nobody reads.
-
-Above capacity, a share cannot hold all that its workspace sends. The fuller its
-queue, the higher a request must rank by the penalty it owes for its cost among
-what the workspace sent lately; so the penalties of what is refused are low.
-
-A request is refused at once if the work before it in its own workspace, at the
-rate to which its share entitles it, makes it miss its time limit or, with work
-that could still be in time behind it, its target. What others send does not
-count, so a hot workspace is refused alone. A final answer is never held back:
-the caller is told at once and when to come back.
+Without admission control, the queue grows until every request is served after
+its caller has disconnected. The engines are full and no answer arrives in
+time. After the burst, the fleet still computes answers that nobody reads.
+
+Above capacity, the share of a workspace is too small for all its requests. The
+fuller its queue, the higher a request must rank by penalty density (penalty per
+engine second) among the recent requests of the workspace. The refused requests
+are therefore the ones with low penalties.
+
+A request is refused at once if it would miss its time limit, or if it would
+miss its target and delay other requests that can still meet theirs. The
+estimate counts the work of the same workspace that is served before the
+request, at the rate of the share. Requests of other workspaces do not count, so
+that only the overloading workspace is refused. The refusal is sent at once and
+says when to retry.
 """
 
 import math
@@ -25,42 +27,46 @@
 from .requests import RequestView
 from .scheduler import Draw
 
-#: Part of the target that may be planned for; the rest is for the errors of
-#: the estimates, which are old by a report.
-TARGET_PART = 0.8
-#: Tightness from which only the better of what comes is let in, and at which
-#: nothing is. At one the next request let in breaks a promise. In the runs of
-#: benchmarks/decisions_under_load.py a quarter and one owed least at 2 and 5
-#: times the capacity, of (1/2, 1), (1/4, 1), (1/4, 3/4) and (1/10, 1/2).
-PICKY_FROM = 0.25
-PICKY_TO = 1.0
-#: Shortest and longest time after which a caller is asked back, in seconds.
-SHORTEST_RETRY = 0.5
-LONGEST_RETRY = 60.0
-#: Callers refused together come back spread over this part of their wait.
-RETRY_SPREAD = 0.5
+#: Fraction of the target that a wait may use up. The rest is a margin for
+#: errors of the estimates, which are one report old.
+TARGET_FRACTION = 0.8
+#: Tightness from which requests of low rank are refused, and at which nearly
+#: all are. At 1 the next admitted request makes another one miss its target. Of
+#: (1/2, 1), (1/4, 1), (1/4, 3/4) and (1/10, 1/2), the pair (1/4, 1) owes the
+#: lowest penalties at 2 and 5 times the capacity in
+#: benchmarks/decisions_under_load.py.
+SHEDDING_START_TIGHTNESS = 0.25
+SHEDDING_FULL_TIGHTNESS = 1.0
+#: Bounds of the retry delay given to a refused caller, in seconds.
+MIN_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 60.0
+#: Random part added to the retry delay, as a fraction of it, so that callers
+#: refused together do not all retry at once.
+RETRY_JITTER = 0.5
 
 
 class WaitEstimate(msgspec.Struct, frozen=True, kw_only=True):
-    """What a request would meet.
+    """Estimated waiting and service times of a request.
 
     Attributes
     ----------
     ahead
-        Work of its workspace before it, in engine seconds.
+        Work of the same workspace that is served before the request, in engine
+        seconds.
     rate
-        Engine seconds a second that its workspace is entitled to.
+        Engine seconds per second that the workspace is entitled to.
     first_token_seconds
-        Time from leaving the queue to the first token.
+        Time from leaving the queue to the first token, in seconds.
     answer_seconds
-        Time from the first token to the last.
+        Time from the first token to the last, in seconds.
     share
-        Part of the capacity that its workspace has now, from 0 to 1.
+        Fraction of the capacity that the workspace has now, from 0 to 1.
     tightness
-        Part of the time to the tightest promise of its workspace that is
-        spoken for; above 1 some promise is broken.
+        Queued work as a fraction of the time until the most constrained target
+        of the workspace. Above 1, some target is missed.
     rank
-        Part of what its workspace sent lately that owes less for its cost.
+        Fraction of the recent requests of the workspace with a lower penalty
+        density, from 0 to 1.
     """
 
     ahead: float
@@ -73,22 +79,26 @@
 
     @property
     def queue_seconds(self) -> float:
-        """Time in the queue."""
+        """Time in the queue, in seconds."""
         return self.ahead / self.rate
 
     @property
     def until_first_token(self) -> float:
-        """Time until the first token."""
+        """Time from now to the first token, in seconds."""
         return self.queue_seconds + self.first_token_seconds
 
 
-class Verdict(msgspec.Struct, frozen=True):
-    """Whether a request is let in.
+class AdmissionDecision(msgspec.Struct, frozen=True):
+    """Whether a request is admitted to the queue.
 
     Attributes
     ----------
     reason
-        Why not; None if it is let in.
+        Reason of the refusal; None if the request is admitted.
+    retry_after
+        Time after which the caller may retry, in seconds.
+    detail
+        Figures that the decision is based on, as a text for an operator.
     """
 
     reason: RefusalReason | None = None
@@ -101,84 +111,92 @@
     estimate: WaitEstimate,
     now: float,
     draw: Draw,
-) -> Verdict:
-    """Decide whether a request is let into the queue."""
+) -> AdmissionDecision:
+    """Decide whether a request is admitted to the queue."""
     if request.deadline <= now:
-        return Verdict(RefusalReason.DEADLINE_PASSED, 0, 'time limit is past')
-    left = request.deadline - now
-    if estimate.first_token_seconds > left:
-        return Verdict(
+        return AdmissionDecision(
+            RefusalReason.DEADLINE_PASSED,
+            0,
+            'the time limit has passed',
+        )
+    remaining = request.deadline - now
+    if estimate.first_token_seconds > remaining:
+        return AdmissionDecision(
             RefusalReason.DEADLINE_UNREACHABLE,
             0,
-            f'{left:.2f} s left, the prompt alone takes '
+            f'{remaining:.2f} s left, but the prefill alone takes '
             f'{estimate.first_token_seconds:.2f} s',
         )
     if not estimate.ahead:
-        return Verdict()
-    excess = estimate.until_first_token + estimate.answer_seconds - left
+        return AdmissionDecision()
+    excess = estimate.until_first_token + estimate.answer_seconds - remaining
     if excess > 0:
-        return Verdict(
+        return AdmissionDecision(
             RefusalReason.DEADLINE_UNREACHABLE,
             retry_seconds(excess, draw),
-            _words(estimate, left),
+            _wait_message(estimate, remaining),
         )
-    return _judge_target(request, estimate, now, draw)
+    return _check_target(request, estimate, now, draw)
 
 
-def _judge_target(
+def _check_target(
     request: RequestView,
     estimate: WaitEstimate,
     now: float,
     draw: Draw,
-) -> Verdict:
+) -> AdmissionDecision:
     if not request.target_seconds:
-        return Verdict()
-    wanted = (estimate.tightness - PICKY_FROM) / (PICKY_TO - PICKY_FROM)
-    if estimate.rank < wanted:
-        return Verdict(
+        return AdmissionDecision()
+    required_rank = (estimate.tightness - SHEDDING_START_TIGHTNESS) / (
+        SHEDDING_FULL_TIGHTNESS - SHEDDING_START_TIGHTNESS
+    )
+    if estimate.rank < required_rank:
+        return AdmissionDecision(
             RefusalReason.OVERLOADED,
             retry_seconds(estimate.queue_seconds, draw),
-            _rank_words(estimate),
+            _rank_message(estimate),
         )
-    allowed = request.arrival + request.target_seconds * TARGET_PART - now
+    allowed = request.arrival + request.target_seconds * TARGET_FRACTION - now
     if estimate.until_first_token <= allowed:
-        return Verdict()
+        return AdmissionDecision()
     if estimate.first_token_seconds > allowed:
-        # It misses its target on an idle fleet too. The queue is not the
-        # reason, and its caller still wants the answer.
-        return Verdict()
+        # The request misses its target on an idle fleet too. The queue is not
+        # the cause, and the caller still wants the answer.
+        return AdmissionDecision()
     spare = allowed - estimate.first_token_seconds
-    return Verdict(
+    return AdmissionDecision(
         RefusalReason.OVERLOADED,
         retry_seconds(estimate.queue_seconds - spare, draw),
-        _words(estimate, allowed),
+        _wait_message(estimate, allowed),
     )
 
 
 def retry_seconds(excess: float, draw: Draw) -> float:
-    """Return when to come back if the queue is too long by `excess` seconds.
+    """Return the retry delay if the queue is too long by `excess` seconds.
 
-    The queue drains a second of work a second, so coming back after the excess
-    finds it short enough, unless others come meanwhile.
+    The queue drains one second of work per second. After the excess it is short
+    enough, unless other requests arrive in the meantime.
     """
-    wait = min(max(excess, SHORTEST_RETRY), LONGEST_RETRY)
-    return round(wait * (1 + RETRY_SPREAD * draw()), 3)
+    wait = min(max(excess, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
+    return round(wait * (1 + RETRY_JITTER * draw()), 3)
 
 
-def _rank_words(estimate: WaitEstimate) -> str:
-    better = 1 - estimate.rank
-    spoken_for = estimate.tightness
+def _rank_message(estimate: WaitEstimate) -> str:
+    fraction_above = 1 - estimate.rank
+    tightness = estimate.tightness
     return (
-        f'{spoken_for:.2f} of the time to the promises of this workspace is '
-        f'spoken for (share {estimate.share:.3f}), and {better:.2f} of what '
-        'it sent lately owes more for its cost'
+        f'{tightness:.2f} of the time to the targets of this workspace is '
+        f'used by queued work (share {estimate.share:.3f}), and '
+        f'{fraction_above:.2f} of its recent requests have a higher penalty '
+        'density'
     )
 
 
-def _words(estimate: WaitEstimate, allowed: float) -> str:
+def _wait_message(estimate: WaitEstimate, allowed: float) -> str:
     rate = math.floor(estimate.rate * 1000) / 1000
     return (
-        f'{estimate.ahead:.2f} engine seconds of this workspace wait before it '
-        f'at {rate} a second (share {estimate.share:.3f}): first token in '
-        f'{estimate.until_first_token:.2f} s, {allowed:.2f} s allowed'
+        f'{estimate.ahead:.2f} engine seconds of this workspace are queued '
+        f'ahead, served at {rate} per second (share {estimate.share:.3f}): '
+        f'first token in {estimate.until_first_token:.2f} s, '
+        f'{allowed:.2f} s allowed'
     )
--- a/packages/sycamore-core/src/sycamore_core/decisions/backlog.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/backlog.py
@@ -1,37 +1,37 @@
-"""All requests that wait at an entry, and when each must be given up.
+"""All requests waiting at an entry, with their deadlines and retry delays.
 
 Load pattern: time limits that pass while a request waits, and attempts that
-are to be made again after a pause.
+are repeated after a delay.
 
-Without it: a request whose time is over stays in its queue until its turn, and
-its caller hears of it late.
+Without these timers, a request whose deadline has passed stays in its queue
+until it reaches the head, and its caller is informed late.
 """
 
 import heapq
 
 from ..ids import RequestId, ServiceId
 from ..settings import FleetSettings
-from .flow import Waiting
+from .flow import WaitingRequest
 from .ordering import target_time
 from .service_queue import ServiceQueue
-from .usage import UsageBook
+from .usage import UsageTracker
 
-_Timed = tuple[float, RequestId, Waiting]
+_TimedEntry = tuple[float, RequestId, WaitingRequest]
 
 
 class Backlog:
-    """The queues of all services."""
+    """The queues of all services and the timers of their requests."""
 
     def __init__(self, settings: FleetSettings) -> None:
         self.settings = settings
         self.services: dict[ServiceId, ServiceQueue] = {}
-        self.waiting: dict[RequestId, Waiting] = {}
-        self.usage = UsageBook()
-        self._delayed: list[_Timed] = []
-        self._limits: list[_Timed] = []
-        self._promises: list[_Timed] = []
+        self.waiting: dict[RequestId, WaitingRequest] = {}
+        self.usage = UsageTracker()
+        self._delayed: list[_TimedEntry] = []
+        self._deadlines: list[_TimedEntry] = []
+        self._targets: list[_TimedEntry] = []
 
-    def service(self, name: ServiceId) -> ServiceQueue:
+    def service_queue(self, name: ServiceId) -> ServiceQueue:
         """Return the queue of a service."""
         queue = self.services.get(name)
         if queue is None:
@@ -40,88 +40,102 @@
         return queue
 
     def update_settings(self, settings: FleetSettings) -> None:
-        """Take a newer tree; what waits keeps its place."""
+        """Apply a newer settings tree; queued requests keep their places."""
         self.settings = settings
         for queue in self.services.values():
             queue.update_policy(settings.policy)
             for lane in queue.lanes.values():
-                lane.queue.forget_idle(settings.workspaces)
+                lane.queue.drop_idle_flows(settings.workspaces)
 
-    def enter(self, waiting: Waiting) -> None:
+    def enqueue(self, waiting: WaitingRequest) -> None:
         """Queue a request for the first time."""
         request = waiting.request
         entry = (request.deadline, request.request_id, waiting)
-        heapq.heappush(self._limits, entry)
-        self._watch_promise(waiting)
-        self._note(waiting)
-        self._queue(waiting)
-
-    def enter_later(self, waiting: Waiting, not_before: float) -> None:
-        """Queue a request again, but not at once."""
-        self._note(waiting)
+        heapq.heappush(self._deadlines, entry)
+        self._track_target(waiting)
+        self._record(waiting)
+        self._push(waiting)
+
+    def enqueue_delayed(
+        self,
+        waiting: WaitingRequest,
+        not_before: float,
+    ) -> None:
+        """Queue a request again at `not_before`."""
+        self._record(waiting)
         entry = (not_before, waiting.request.request_id, waiting)
         heapq.heappush(self._delayed, entry)
 
-    def postpone(self, waiting: Waiting, not_before: float) -> None:
-        """Take a request out of its queue and put it back later."""
-        self.leave(waiting.request.request_id)
-        self.enter_later(waiting, not_before)
+    def postpone(self, waiting: WaitingRequest, not_before: float) -> None:
+        """Remove a request from its queue and add it again at `not_before`."""
+        self.remove(waiting.request.request_id)
+        self.enqueue_delayed(waiting, not_before)
 
-    def leave(self, request_id: RequestId) -> Waiting | None:
-        """Take a request out, wherever it waits; None if it does not."""
+    def remove(self, request_id: RequestId) -> WaitingRequest | None:
+        """Remove and return a waiting request; None if it is not waiting."""
         waiting = self.waiting.pop(request_id, None)
         if waiting is None:
             return None
         request = waiting.request
-        self.usage.of(request.workspace).waiting -= 1
-        self.service(request.service).lane_of(request).queue.remove(waiting)
+        self.usage.usage_of(request.workspace).waiting -= 1
+        self.service_queue(request.service).lane_of(request).queue.remove(
+            waiting,
+        )
         return waiting
 
-    def release(self, now: float) -> None:
-        """Queue what has waited for its next attempt long enough."""
+    def requeue_due(self, now: float) -> None:
+        """Queue the delayed requests whose delay has passed."""
         while self._delayed and self._delayed[0][0] <= now:
             waiting = heapq.heappop(self._delayed)[-1]
             if self.waiting.get(waiting.request.request_id) is waiting:
-                self._queue(waiting)
+                self._push(waiting)
 
-    def expire(self, now: float) -> list[Waiting]:
-        """Take out and return what is past its time limit."""
-        expired = self._passed(self._limits, now)
+    def pop_expired(self, now: float) -> list[WaitingRequest]:
+        """Remove and return the requests whose time limit has passed."""
+        expired = self._pop_due(self._deadlines, now)
         for waiting in expired:
-            self.leave(waiting.request.request_id)
+            self.remove(waiting.request.request_id)
         return expired
 
-    def late(self, now: float) -> list[Waiting]:
-        """Return what has just become too late for its target, each once."""
-        passed = self._passed(self._promises, now)
-        return list({id(waiting): waiting for waiting in passed}.values())
+    def pop_late(self, now: float) -> list[WaitingRequest]:
+        """Return the requests that have just become late, without duplicates.
 
-    def _watch_promise(self, waiting: Waiting) -> None:
+        A request is late when it can no longer meet its target. It stays in
+        its queue.
+        """
+        late = self._pop_due(self._targets, now)
+        return list({id(waiting): waiting for waiting in late}.values())
+
+    def _track_target(self, waiting: WaitingRequest) -> None:
         request = waiting.request
         promised = target_time(request)
         if promised >= request.deadline:
             return
-        prefill = self.service(request.service).prefill_seconds(request)
-        # The estimate of the prefill may fall while the request waits: at the
-        # first time it could then still be served in time, so it is looked at
-        # again when its target is over.
+        prefill = self.service_queue(request.service).prefill_seconds(request)
+        # The prefill estimate may decrease while the request waits, so that the
+        # request can still meet its target at the first of these times. It is
+        # checked again when the target has passed.
         for when in (promised - prefill, promised):
             entry = (when, request.request_id, waiting)
-            heapq.heappush(self._promises, entry)
-
-    def _passed(self, timed: list[_Timed], now: float) -> list[Waiting]:
-        passed: list[Waiting] = []
+            heapq.heappush(self._targets, entry)
+
+    def _pop_due(
+        self,
+        timed: list[_TimedEntry],
+        now: float,
+    ) -> list[WaitingRequest]:
+        due: list[WaitingRequest] = []
         while timed and timed[0][0] <= now:
             waiting = heapq.heappop(timed)[-1]
             if self.waiting.get(waiting.request.request_id) is waiting:
-                passed.append(waiting)
-        return passed
+                due.append(waiting)
+        return due
 
-    def _note(self, waiting: Waiting) -> None:
+    def _record(self, waiting: WaitingRequest) -> None:
         request = waiting.request
         self.waiting[request.request_id] = waiting
-        self.usage.of(request.workspace).waiting += 1
+        self.usage.usage_of(request.workspace).waiting += 1
 
-    def _queue(self, waiting: Waiting) -> None:
+    def _push(self, waiting: WaitingRequest) -> None:
         request = waiting.request
-        self.service(request.service).lane_of(request).push(waiting)
+        self.service_queue(request.service).lane_of(request).push(waiting)
--- a/packages/sycamore-core/src/sycamore_core/decisions/batch_limit.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/batch_limit.py
@@ -1,35 +1,41 @@
-"""How many requests an engine takes before they wait for a place in its batch.
+"""Estimate of the batch size of an engine from its first-token times.
 
-Load pattern: a workspace that sends without end, on engines whose batch is
-limited by a figure that nobody has stated.
+Load pattern: a workspace that sends continuously, on engines whose batch size
+is limited by an unknown number.
 
-Without it: requests wait inside the full engines for a place. One of another
-workspace that comes then is bound to one engine and waits for a place there,
-while places become free at others.
+Without this limit, requests wait for a batch slot inside the full engines. A
+new request of another workspace is then bound to one engine and waits for a
+slot there, while slots become free at other engines.
 
-The limit is found like the window of a transport protocol: it is lowered when a
-first token comes later than prefill and steps explain, and raised by a part of
-a request with each one that comes in time while the limit is in use.
+The limit adapts like the congestion window of a transport protocol. It
+decreases when a first token arrives later than prefill and steps explain. While
+the limit is in use, it increases with each first token that arrives in time.
 """
 
 import math
 
-#: Steps that a first token may take beyond its prefill: the rest of the step
-#: in progress when the request came, its own, and one as reports are old.
+#: Steps that a first token may take in addition to its prefill: the rest of the
+#: step in progress on arrival, its own step, and one for the age of reports.
 EXPECTED_STEPS = 3
-#: Part of the requests there that is taken off when one had to wait. Together
-#: with `RAISED_BY` it found batches of 32 without refusing a burst that they
-#: could hold; a tenth with a half kept them half empty for seconds.
-LOWERED_PART = 0.03
-#: What a first token in time adds while the limit is in use, in requests.
-RAISED_BY = 1
-#: Least limit, in requests. With fewer, the base of a step is most of it, so
-#: a slow first token there has another cause than a full batch.
-LEAST_LIMIT = 8
+#: Decrease when a request had to wait, as a fraction of the requests at the
+#: engine. With `INCREASE_REQUESTS` it finds batches of 32 without refusing a
+#: burst that fits. A decrease of 0.1 with an increase of 0.5 keeps such batches
+#: half empty for seconds.
+DECREASE_FRACTION = 0.03
+#: Increase per first token in time while the limit is in use, in requests.
+INCREASE_REQUESTS = 1
+#: Lower bound of the limit, in requests. With fewer requests, the base time
+#: dominates a step, so a slow first token has another cause than a full batch.
+MIN_LIMIT_REQUESTS = 8
 
 
 class BatchLimit:
-    """The limit of one engine; infinite until a request had to wait.
+    """The batch limit of one engine; infinite until a request had to wait.
+
+    Attributes
+    ----------
+    requests
+        Requests that may be at the engine at once.
 
     Examples
     --------
@@ -46,17 +52,17 @@
         self.requests = math.inf
 
     def note_first_token(self, late_seconds: float, present: int) -> None:
-        """Learn from a first token.
+        """Adapt the limit to the time of a first token.
 
         Parameters
         ----------
         late_seconds
-            How much later it came than prefill and steps explain, in seconds.
+            Delay of the first token beyond prefill and steps, in seconds.
         present
             Requests at the engine.
         """
         if late_seconds > 0:
-            lowered = max(LEAST_LIMIT, present * (1 - LOWERED_PART))
+            lowered = max(MIN_LIMIT_REQUESTS, present * (1 - DECREASE_FRACTION))
             self.requests = min(self.requests, lowered)
         elif present + 1 >= self.requests:
-            self.requests += RAISED_BY
+            self.requests += INCREASE_REQUESTS
--- a/packages/sycamore-core/src/sycamore_core/decisions/costs.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/costs.py
@@ -1,10 +1,11 @@
-"""How long a request is expected to wait for its first token at an endpoint.
+"""Expected time to first token of a request at an endpoint.
 
 Load pattern: reports that are a second or more old, and queues of prompts
-whose lengths differ a thousandfold, so that counting requests says little.
+whose lengths differ by a factor of 1,000, so that the number of requests is a
+poor measure of load.
 
-Without it: an endpoint with one prompt of a million tokens looks idler than
-one with three chat turns.
+Without these estimates, an endpoint with one prompt of a million tokens looks
+less loaded than an endpoint with three short requests.
 """
 
 import msgspec
@@ -16,48 +17,48 @@
 from .requests import RequestView
 from .views import ASSUMED_RATE
 
-#: Time assumed for one call of a plain service before its first report.
+#: Time of one call of a plain service before its first report, in seconds.
 ASSUMED_CALL_SECONDS = 0.05
-#: What each running sequence adds to a step, in seconds: 2.7 ms, published
-#: for sequences of about 113,000 tokens.
+#: Step time added by each running sequence, in seconds; published for
+#: sequences of about 113,000 tokens.
 SEQUENCE_SECONDS = 0.0027
-#: Two crossings between zones of 1.5 ms each, in seconds.
-ZONE_SECONDS = 0.003
-#: Two crossings between regions, in seconds. The distances were not supplied;
-#: 80 ms is the usual round trip over an ocean.
-REGION_SECONDS = 0.08
+#: Round trip between zones, in seconds: 1.5 ms each way.
+ZONE_ROUND_TRIP_SECONDS = 0.003
+#: Round trip between regions, in seconds. The distances are not known; 80 ms is
+#: the usual round trip across an ocean.
+REGION_ROUND_TRIP_SECONDS = 0.08
 
 
-class Estimate(msgspec.Struct, frozen=True):
-    """What a request would meet at an endpoint.
+class LatencyEstimate(msgspec.Struct, frozen=True):
+    """Expected time to first token of a request at an endpoint, by component.
 
     Attributes
     ----------
     wait_seconds
-        Time until what is queued there is computed.
+        Time until the prompts queued there are computed, in seconds.
     compute_seconds
-        Time to compute the part of the prompt that is not cached.
-    crossing_seconds
-        Time on the way there and back.
+        Time to compute the part of the prompt that is not cached, in seconds.
+    network_seconds
+        Network round trip to the endpoint, in seconds.
     """
 
     wait_seconds: float
     compute_seconds: float
-    crossing_seconds: float
+    network_seconds: float
 
     @property
     def total_seconds(self) -> float:
-        """Expected time to first token."""
+        """Expected time to first token, in seconds."""
         return self.weighed_seconds(1)
 
     def weighed_seconds(self, compute_weight: float) -> float:
-        """Return the total with the computing counted more than once."""
+        """Return the total with the compute time multiplied by a weight."""
         computing = self.compute_seconds * compute_weight
-        return self.wait_seconds + computing + self.crossing_seconds
+        return self.wait_seconds + computing + self.network_seconds
 
 
 class CostModel:
-    """Estimates, as seen from one zone."""
+    """Estimates the time to first token for an entry in one zone."""
 
     def __init__(self, zone: ZoneId, settings: FleetSettings) -> None:
         self.zone = zone
@@ -69,35 +70,36 @@
         request: RequestView,
         candidate: Candidate,
         matched_blocks: int,
-    ) -> Estimate:
-        """Return what the request would meet at an endpoint."""
+    ) -> LatencyEstimate:
+        """Return the expected time to first token at an endpoint."""
         view = candidate.view
-        crossing = self._crossing(view.zone)
+        network = self._network_seconds(view.zone)
         if view.kind == EndpointKind.PLAIN:
             call = view.step_seconds or ASSUMED_CALL_SECONDS
             ahead = view.running + view.waiting + candidate.sent_requests
-            return Estimate(ahead * call, call, crossing)
+            return LatencyEstimate(ahead * call, call, network)
         rate = view.service_rate or ASSUMED_RATE
         queued = view.backlog_tokens + candidate.sent_new_tokens
         batch = view.running + candidate.sent_requests
-        return Estimate(
+        return LatencyEstimate(
             queued / rate + batch * SEQUENCE_SECONDS,
             new_tokens(request, matched_blocks) / rate,
-            crossing,
+            network,
         )
 
-    def _crossing(self, zone: ZoneId) -> float:
+    def _network_seconds(self, zone: ZoneId) -> float:
         if zone == self.zone:
             return 0
         if self.settings.zones.get(zone) == self.region:
-            return ZONE_SECONDS
-        return REGION_SECONDS
+            return ZONE_ROUND_TRIP_SECONDS
+        return REGION_ROUND_TRIP_SECONDS
 
 
 def new_tokens(request: RequestView, matched_blocks: int) -> int:
     """Return the tokens of a prompt that are not cached.
 
-    The last token is always computed, as it yields the first output.
+    The last token is always computed, because it yields the first output
+    token.
     """
     blocks = len(request.prefix_blocks)
     if not blocks or not matched_blocks:
--- a/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
@@ -1,10 +1,10 @@
-"""Sending of what waits to the endpoints that have room.
+"""Sending of waiting requests to endpoints that have capacity.
 
-Load pattern: more waits than the endpoints have room for.
+Load pattern: more requests wait than the endpoints have capacity for.
 
-Without it: what is sent too early waits in an engine, where it can no longer
-be overtaken, and what has missed its target takes the place of what could
-still meet it.
+Without this control, a request that is sent too early waits in an engine, where
+more urgent requests can no longer overtake it. A request that has missed its
+target takes the place of a request that could still meet its own.
 """
 
 from ..ids import RequestId
@@ -12,7 +12,7 @@
 from .admission import retry_seconds
 from .backlog import Backlog
 from .endpoint_book import EndpointBook
-from .flow import Waiting
+from .flow import WaitingRequest
 from .least_loaded import LeastLoadedPlacement
 from .ordering import PRIORITY, target_time
 from .outstanding import Sent
@@ -21,29 +21,31 @@
 from .placement_base import PlacementDecision, PlacementReason
 from .requests import RequestView
 from .scheduler import Dispatch, Draw, Refusal
-from .service_queue import SCAN_FLOWS, Lane, ServiceQueue
+from .service_queue import MAX_SCANNED_FLOWS, Lane, ServiceQueue
 from .tracked import TrackedPool
 
 Decision = Dispatch | Refusal
 
 _LONG_BANDS = frozenset((PromptBand.LONG, PromptBand.HUGE))
-#: Reasons of a placement that follows no cached prefix.
-_DRAWN = frozenset((PlacementReason.LEAST_LOADED, PlacementReason.HOME))
+#: Reasons of a placement that does not follow a cached prefix.
+_PREFIX_FREE_REASONS = frozenset(
+    (PlacementReason.LEAST_LOADED, PlacementReason.HOME),
+)
 
 
-#: When to come back with a prompt that the engines cannot hold now, in seconds:
-#: an engine that was restarted takes work again after some seconds.
-TOO_LONG_SECONDS = 10.0
+#: Retry delay for a prompt that the live engines cannot hold together, in
+#: seconds: a restarted engine accepts requests again after some seconds.
+TOO_LONG_RETRY_SECONDS = 10.0
 
 
 class Dispatcher:
-    """Takes requests from the queues while endpoints have room.
+    """Sends queued requests while endpoints have capacity.
 
     Parameters
     ----------
     placement
-        Chooses among the endpoints; where it finds none although some are
-        open, the least loaded of the open ones is taken.
+        Chooses among the endpoints. If it finds none although some are open,
+        the least loaded of a sample of the open endpoints is used.
     """
 
     def __init__(
@@ -61,9 +63,9 @@
         self.sent: dict[RequestId, Sent] = {}
 
     def drain(self, queue: ServiceQueue, now: float) -> list[Decision]:
-        """Send what the endpoints of a service have room for."""
+        """Send the requests that the endpoints of a service can accept."""
         decisions: list[Decision] = []
-        for lane in queue.lanes_in_turn(now):
+        for lane in queue.lanes_by_urgency(now):
             if lane.is_blocked(queue.pool.version, now):
                 continue
             self._drain_lane(queue, lane, now, decisions)
@@ -72,38 +74,43 @@
                 lane.block(queue.pool.version, now)
         return decisions
 
-    def give_up_late(self, waiting: Waiting, now: float) -> Refusal | None:
-        """Give up a request that misses its target while others wait.
+    def refuse_late(
+        self,
+        waiting: WaitingRequest,
+        now: float,
+    ) -> Refusal | None:
+        """Refuse a request that misses its target while others wait.
 
-        The penalty is owed whether or not it is served. Serving it makes those
-        behind it late as well, and so on for as long as the queue lasts.
+        The penalty is owed whether or not the request is served. Serving the
+        request makes later requests miss their targets as well, for as long as
+        the queue is not empty.
         """
         request = waiting.request
-        queue = self.backlog.service(request.service)
+        queue = self.backlog.service_queue(request.service)
         prefill = queue.prefill_seconds(request)
-        if waiting.spared or now + prefill < target_time(request):
+        if waiting.serve_late or now + prefill < target_time(request):
             return None
-        # Alone in its lane it delays nobody. One whose prefill is longer than
-        # its target is late on an idle fleet too.
+        # A request alone in its lane delays no other. A request whose prefill
+        # is longer than its target is late on an idle fleet too.
         alone = queue.lane_of(request).queue.count <= 1
         if alone or prefill >= request.target_seconds:
-            waiting.spared = True
+            waiting.serve_late = True
             return None
-        self.backlog.leave(request.request_id)
+        self.backlog.remove(request.request_id)
         estimate = queue.estimate(waiting, now)
         return Refusal(
             request.request_id,
             RefusalReason.OVERLOADED,
             retry_seconds(estimate.queue_seconds, self.draw),
-            _late_words(request, now, prefill),
+            _late_message(request, now, prefill),
         )
 
-    def recall(self, request_id: RequestId) -> Sent | None:
-        """Return a request that is over at its endpoints; None if unknown."""
+    def pop_sent(self, request_id: RequestId) -> Sent | None:
+        """Remove and return a sent request; None if unknown."""
         sent = self.sent.pop(request_id, None)
         if sent is not None:
             workspace = sent.waiting.request.workspace
-            self.backlog.usage.of(workspace).running -= 1
+            self.backlog.usage.usage_of(workspace).running -= 1
             self.endpoints.note_gone(sent)
         return sent
 
@@ -115,28 +122,31 @@
         decisions: list[Decision],
     ) -> None:
         skipped = 0
-        while queue.pool.open and skipped < SCAN_FLOWS:
+        while queue.pool.open and skipped < MAX_SCANNED_FLOWS:
             head = lane.queue.peek()
             if head is None:
                 return
-            decision = self._try_head(queue, lane, head, now)
+            decision = self._decide_head(queue, lane, head, now)
             if decision is not None:
                 decisions.append(decision)
                 continue
-            if queue.holds_lane(head.request, now):
+            if queue.blocks_lane(head.request, now):
                 return
             skipped += lane.queue.skip(head)
 
-    def _try_head(
+    def _decide_head(
         self,
         queue: ServiceQueue,
         lane: Lane,
-        head: Waiting,
+        head: WaitingRequest,
         now: float,
     ) -> Decision | None:
-        """Send the head whose turn it is, or that to which it is lent."""
-        waiting = lane.queue.borrowed(now) or head
-        refusal = self._refusal_of(waiting, queue, now)
+        """Send or refuse the head, or the request that borrows its turn.
+
+        Return None if the request stays in the queue.
+        """
+        waiting = lane.queue.peek_borrower(now) or head
+        refusal = self._check_refusal(waiting, queue, now)
         if refusal is not None:
             return refusal
         chosen = self._place(queue, waiting.request, now)
@@ -146,34 +156,34 @@
             if chosen.reason == PlacementReason.PINNED:
                 self.backlog.postpone(waiting, now + POSTPONED_SECONDS)
             return None
-        lane.queue.take(waiting)
-        lane.drain.note_sent(waiting.cost)
+        lane.queue.serve(waiting)
+        lane.drain.record_sent(waiting.cost)
         return self._send(waiting, chosen, now)
 
     def _refuse_too_long(self, request: RequestView) -> Refusal:
-        """Give up what all engines that are there could not hold together.
+        """Refuse a prompt that all live engines together cannot hold.
 
-        It would wait until its time limit for engines that are away, and
-        with it its lane. Its caller can come back when they are.
+        The request, and its lane with it, would wait for absent engines until
+        its time limit. The caller can retry when the engines are back.
         """
-        self.backlog.leave(request.request_id)
+        self.backlog.remove(request.request_id)
         return Refusal(
             request.request_id,
             RefusalReason.PROMPT_TOO_LONG,
-            TOO_LONG_SECONDS,
-            'the engines that take work could not hold it together',
+            TOO_LONG_RETRY_SECONDS,
+            'the live engines together have too little memory for the prompt',
         )
 
-    def _refusal_of(
+    def _check_refusal(
         self,
-        waiting: Waiting,
+        waiting: WaitingRequest,
         queue: ServiceQueue,
         now: float,
     ) -> Refusal | None:
         refusal = refusal_of(waiting.request, queue.pool)
         if refusal is None:
-            return self.give_up_late(waiting, now)
-        self.backlog.leave(refusal.request_id)
+            return self.refuse_late(waiting, now)
+        self.backlog.remove(refusal.request_id)
         return refusal
 
     def _place(
@@ -187,23 +197,28 @@
         chosen = self.placement.place(request, queue.pool, now, self.draw)
         if request.band in _LONG_BANDS or not queue.pool.open:
             return chosen
-        if chosen.endpoint is None or self._meets_long(queue.pool, chosen):
+        if chosen.endpoint is None or self._has_long_work(queue.pool, chosen):
             return self.fallback.place(request, queue.pool, now, self.draw)
         return chosen
 
-    def _meets_long(self, pool: TrackedPool, chosen: PlacementDecision) -> bool:
-        """Tell whether a prompt drew an engine busy with a long one.
+    def _has_long_work(
+        self,
+        pool: TrackedPool,
+        chosen: PlacementDecision,
+    ) -> bool:
+        """Return whether the chosen engine is busy with a long prompt.
 
-        Two engines drawn at random are both among the half that computes long
-        prompts once in five times, which one sees in the p95 of short ones.
+        If half of the engines compute long prompts, both of two engines drawn
+        at random do so in about one of five draws. This raises the p95 of the
+        time to first token of short requests.
         """
-        if chosen.reason not in _DRAWN or not pool.calm:
+        if chosen.reason not in _PREFIX_FREE_REASONS or not pool.calm:
             return False
         return pool.calm.find(chosen.endpoint) is None
 
     def _send(
         self,
-        waiting: Waiting,
+        waiting: WaitingRequest,
         chosen: PlacementDecision,
         now: float,
     ) -> Dispatch:
@@ -217,15 +232,15 @@
             lease_tokens=_lease_tokens(request) // parts,
             sent_at=now,
         )
-        self.backlog.leave(request.request_id)
+        self.backlog.remove(request.request_id)
         self.sent[request.request_id] = sent
-        usage = self.backlog.usage.of(request.workspace)
+        usage = self.backlog.usage.usage_of(request.workspace)
         usage.running += 1
         usage.add(_lease_tokens(request), now)
         self.endpoints.note_sent(sent)
         if request.band == PromptBand.HUGE:
-            # What long work may still take is summed up once a second; a
-            # second prompt in that second would be judged by the old sum.
+            # The limits of long work are computed once a second. Without
+            # this, a second long prompt would be placed by stale limits.
             self.placement.limits.pop(request.service, None)
         return Dispatch(
             request.request_id,
@@ -249,22 +264,23 @@
     )
 
 
-def engine_priority(waiting: Waiting) -> int:
-    """Return the priority in the engine; lower is served first.
+def engine_priority(waiting: WaitingRequest) -> int:
+    """Return the priority in the engine; a lower value is served first.
 
-    A request that nothing of its workspace was before goes before those of
-    its band that had to queue: its workspace has not used its share.
+    Within its band, a request that found the queue of its workspace empty goes
+    before requests that had to queue, because its workspace has not used up its
+    share.
     """
     beyond_share = 0 if waiting.within_share else 1
     return 2 * PRIORITY[waiting.request.band] + beyond_share
 
 
-def _late_words(request: RequestView, now: float, prefill: float) -> str:
+def _late_message(request: RequestView, now: float, prefill: float) -> str:
     waited = now - request.arrival
     target = request.target_seconds
     return (
-        f'waited {waited:.2f} s, its prompt takes {prefill:.2f} s, '
-        f'its target is {target:.2f} s'
+        f'waited {waited:.2f} s, the prefill takes {prefill:.2f} s, '
+        f'the target is {target:.2f} s'
     )
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/estimates.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/estimates.py
@@ -1,66 +1,69 @@
-"""What a request costs, and how fast the fleet works its queue off.
+"""Estimates of the cost of a request and of the drain rate of a queue.
 
-Load pattern: prompts whose lengths differ a thousandfold on engines whose
-speed nobody has stated, and which grow slower when they are full.
+Load pattern: prompts whose lengths differ by a factor of 1,000, on engines of
+unknown speed that become slower when they are full.
 
-Without it: shares counted in requests let a workspace take the fleet with a
-few long prompts, and a wait that is told to a caller is a guess.
+Without these estimates, shares would count requests, so that a workspace could
+occupy the fleet with a few long prompts, and the wait reported to a caller
+would be arbitrary.
 
-Costs are in engine seconds: the part of an engine's time that a request takes.
-They need only be right relative to each other, because the rate at which the
-queue drains is measured in the same unit.
+Costs are in engine seconds: the time of one engine that a request uses. Only
+the ratios of costs matter, because the drain rate of the queue is measured in
+the same unit.
 """
 
 from ..states import EndpointKind
 from .requests import RequestView
 from .views import ASSUMED_RATE, EndpointView
 
-#: Time that a token generated takes of an engine until one has reported, in
-#: seconds: the slope of the published fit, 2.7 ms, and its base of 10 ms
-#: shared by 16 sequences.
+#: Engine time per generated token before the first report, in seconds: the
+#: slope of the published fit, 2.7 ms, and its base of 10 ms shared by 16
+#: sequences.
 ASSUMED_TOKEN_SECONDS = 0.0033
-#: Time of one call of a plain service until one was seen, in seconds.
+#: Time of one call of a plain service before the first one, in seconds.
 ASSUMED_CALL_SECONDS = 0.05
-#: Part of the longest allowed answer that one has until some were seen; callers
-#: mostly leave the limit of their service as it is, and few answers reach it.
+#: Answer length before the first answer, as a fraction of its limit. Most
+#: callers keep the default limit of their service, and few answers reach it.
 ASSUMED_OUTPUT_SHARE = 0.25
-#: Least cost of a request, in engine seconds, so that no share is infinite.
-LEAST_COST = 0.001
-#: Sequences in a batch from which its step time tells the cost of a token;
-#: below it, the base of the step weighs more than the sequences.
-TELLING_BATCH = 4
-#: Part by which a remembered best speed is given up at each report. At one
-#: report a second of each of 20 endpoints it follows a change in ten seconds.
-FORGETTING = 0.005
-#: Weight of the newest sample in averages: settles within about ten samples.
+#: Lower bound of a cost, in engine seconds, so that no quotient is infinite.
+MIN_COST_SECONDS = 0.001
+#: Batch size, in sequences, from which the step time indicates the cost of a
+#: token; below it, the base time dominates the step.
+MIN_SAMPLE_BATCH = 4
+#: Decay of the best known speed per report, as a fraction. With 20 endpoints
+#: that report once a second, the estimate follows a change in ten seconds.
+DECAY_PER_REPORT = 0.005
+#: Weight of the newest sample in averages; they settle within about 10 samples.
 SMOOTHING = 0.1
-#: Shortest time over which a drain rate is measured, in seconds: an eighth of
-#: a target of two seconds.
-DRAIN_SECONDS = 0.25
-#: Requests over which a drain rate is measured at least, so that one that is
-#: a hundred times longer than the others does not make the rate jump.
-DRAIN_REQUESTS = 8
+#: Minimum time over which a drain rate is measured, in seconds: an eighth of a
+#: target of two seconds.
+MIN_DRAIN_SECONDS = 0.25
+#: Minimum number of requests in a measurement of the drain rate, so that a
+#: request 100 times longer than the others does not make the rate jump.
+MIN_DRAIN_REQUESTS = 8
 #: Weight of the newest drain rate.
 DRAIN_SMOOTHING = 0.4
-#: Rate of an endpoint without a backlog, in engine seconds a second. It is
-#: above 1, because a batch that is not full takes in prompts faster than it
-#: can answer them; with 1, a burst that the batches can hold is refused.
+#: Drain rate per endpoint without a backlog, in engine seconds per second. A
+#: batch that is not full accepts prompts faster than it answers them, so the
+#: rate is above 1; with 1, a burst that the batches can hold is refused.
 IDLE_RATE = 4.0
 
 
 class SpeedEstimate:
-    """How fast the endpoints of a service are when not slowed by others.
+    """Speed of the endpoints of a service without contention.
 
     Attributes
     ----------
     prefill_rate
-        Prompt tokens computed a second.
+        Prompt tokens computed per second; 0 if not known.
     token_seconds
-        Engine time of one token generated, in seconds.
+        Engine time of one generated token, in seconds; 0 if not known.
     call_seconds
         Time of one call of a plain service, in seconds.
+    step_seconds
+        Average time between two tokens of a stream, in seconds; 0 if not known.
     output_share
-        Part of the longest allowed answer that answers really have.
+        Average length of the answers as a fraction of their limit.
     """
 
     def __init__(self) -> None:
@@ -71,34 +74,34 @@
         self.output_share = ASSUMED_OUTPUT_SHARE
 
     def take_report(self, view: EndpointView) -> None:
-        """Learn from a report of an endpoint."""
+        """Update the estimates from a report of an endpoint."""
         if view.telling_rate > 0:
-            kept = self.prefill_rate * (1 - FORGETTING)
-            self.prefill_rate = max(kept, view.telling_rate)
+            decayed = self.prefill_rate * (1 - DECAY_PER_REPORT)
+            self.prefill_rate = max(decayed, view.telling_rate)
         if view.step_seconds > 0:
             self.step_seconds = _smoothed(self.step_seconds, view.step_seconds)
-            self._take_step(view)
+            self._apply_step(view)
 
     def take_output(self, request: RequestView, tokens: float) -> None:
-        """Learn from an answer of `tokens` tokens."""
+        """Update the answer length from an answer of `tokens` tokens."""
         if request.max_output_tokens:
             share = min(1, tokens / request.max_output_tokens)
             self.output_share += SMOOTHING * (share - self.output_share)
 
     def take_call(self, seconds: float) -> None:
-        """Learn from a call of a plain service."""
+        """Update the call time from a call of a plain service."""
         self.call_seconds = _smoothed(self.call_seconds, seconds)
 
     def cost(self, request: RequestView, new_tokens: int) -> float:
-        """Return what a request costs, in engine seconds."""
+        """Return the cost of a request, in engine seconds."""
         if request.kind == EndpointKind.PLAIN:
-            return max(LEAST_COST, self.call_seconds)
+            return max(MIN_COST_SECONDS, self.call_seconds)
         tokens = self.output_tokens(request)
         decode = tokens * (self.token_seconds or ASSUMED_TOKEN_SECONDS)
-        return max(LEAST_COST, self.prefill_seconds(new_tokens) + decode)
+        return max(MIN_COST_SECONDS, self.prefill_seconds(new_tokens) + decode)
 
     def prefill_seconds(self, new_tokens: int) -> float:
-        """Return the time to compute a prompt alone, in seconds."""
+        """Return the prefill time without contention, in seconds."""
         return new_tokens / (self.prefill_rate or ASSUMED_RATE)
 
     def answer_seconds(self, request: RequestView) -> float:
@@ -108,22 +111,27 @@
         return self.output_tokens(request) * self.step_seconds
 
     def output_tokens(self, request: RequestView) -> float:
-        """Return how many tokens the answer is expected to have."""
+        """Return the expected length of the answer, in tokens."""
         return request.max_output_tokens * self.output_share
 
-    def _take_step(self, view: EndpointView) -> None:
-        if view.running < TELLING_BATCH:
+    def _apply_step(self, view: EndpointView) -> None:
+        if view.running < MIN_SAMPLE_BATCH:
             return
-        seen = view.step_seconds / view.running
-        kept = self.token_seconds * (1 + FORGETTING)
-        self.token_seconds = min(kept or seen, seen)
+        sample = view.step_seconds / view.running
+        decayed = self.token_seconds * (1 + DECAY_PER_REPORT)
+        self.token_seconds = min(decayed or sample, sample)
 
 
 class DrainRate:
-    """Engine seconds of work that leave a queue in a second.
+    """Work that leaves a queue, in engine seconds per second.
 
-    It is measured only while the queue is never empty, because otherwise it
-    tells how much came and not how much can go.
+    The rate is measured only while the queue is not empty. The rate of an empty
+    queue shows the arrivals instead of the capacity.
+
+    Attributes
+    ----------
+    per_endpoint
+        Drain rate of one endpoint, in engine seconds per second.
     """
 
     def __init__(self) -> None:
@@ -133,29 +141,35 @@
         self._requests = 0
 
     def rate(self, endpoints: float) -> float:
-        """Return the rate of so many endpoints, in engine seconds a second."""
-        return max(LEAST_COST, self.per_endpoint * endpoints)
+        """Return the rate of `endpoints` endpoints.
 
-    def note_sent(self, cost: float) -> None:
-        """Count a request that has left the queue for an endpoint."""
+        The unit is engine seconds per second.
+        """
+        return max(MIN_COST_SECONDS, self.per_endpoint * endpoints)
+
+    def record_sent(self, cost: float) -> None:
+        """Count a request that was sent to an endpoint."""
         self._cost += cost
         self._requests += 1
 
-    def rest(self) -> None:
-        """Forget the measurement, as nothing waits."""
+    def reset(self) -> None:
+        """Discard the measurement, because the queue is empty."""
         self.per_endpoint = IDLE_RATE
         self._since = None
 
     def observe(self, now: float, endpoints: float) -> None:
-        """Close a measurement that is long enough; something waits."""
+        """Update the rate if the measurement is long enough.
+
+        Called only while the queue is not empty.
+        """
         if self._since is None:
             self._restart(now)
             return
         seconds = now - self._since
-        if seconds < DRAIN_SECONDS or self._requests < DRAIN_REQUESTS:
+        if seconds < MIN_DRAIN_SECONDS or self._requests < MIN_DRAIN_REQUESTS:
             return
-        seen = self._cost / seconds / max(1, endpoints)
-        self.per_endpoint += DRAIN_SMOOTHING * (seen - self.per_endpoint)
+        sample = self._cost / seconds / max(1, endpoints)
+        self.per_endpoint += DRAIN_SMOOTHING * (sample - self.per_endpoint)
         self._restart(now)
 
     def _restart(self, since: float) -> None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/fair.py
@@ -1,12 +1,17 @@
 """The scheduler that the entry process runs.
 
-It puts the other modules together: `admission` decides who is let in,
-`fair_share` whose turn it is, `ordering` and `service_queue` who goes first,
-`placement` where, `tracked` whether more should go there now, `retries` what
-follows a failed attempt, `health` and `pace` which endpoints are relieved.
+The scheduler combines the other modules:
 
-Load pattern: all of those of these modules at once. Without one place that
-runs them in this order, each would undo what another has decided.
+- `admission` admits or refuses a request,
+- `fair_share` selects the workspace that is served next,
+- `ordering` and `service_queue` order the requests,
+- `placement` selects the endpoint,
+- `tracked` decides whether an endpoint gets more requests now,
+- `retries` decides what follows a failed attempt,
+- `health` and `pace` reduce the load of endpoints.
+
+Load pattern: the patterns of all these modules at once. Without one place that
+runs them in this order, one module would undo the decision of another.
 """
 
 from collections.abc import Sequence
@@ -21,7 +26,7 @@
 from .backlog import Backlog
 from .dispatching import Decision, Dispatcher
 from .endpoint_book import EndpointBook
-from .flow import Waiting
+from .flow import WaitingRequest
 from .ordering import long_work_share
 from .pinned import refusal_of
 from .placement import PrefixPlacement
@@ -37,15 +42,15 @@
 )
 from .views import EndpointView
 
-#: When `dispatch` is due again while requests wait, in seconds: a twentieth of
-#: the shortest target in use, 0.49 s.
+#: Interval of `dispatch` while requests wait, in seconds: a twentieth of the
+#: shortest target in use, 0.49 s.
 WAKE_SECONDS = 0.025
-#: When it is due again while nothing waits, in seconds.
+#: Interval of `dispatch` while no requests wait, in seconds.
 IDLE_SECONDS = 1.0
-#: When to come back if no endpoint takes work, in seconds: the interval of
-#: heartbeats, before which none can be heard of.
+#: Retry delay if no endpoint accepts requests, in seconds: the heartbeat
+#: interval, before which no new endpoint can be known.
 NO_ENDPOINT_SECONDS = 1.0
-#: Zone of an entry that is not told one; every endpoint counts as near.
+#: Zone of an entry without a configured zone; all endpoints count as local.
 NO_ZONE = ZoneId('')
 
 
@@ -55,11 +60,11 @@
     Parameters
     ----------
     settings
-        The tree in force.
+        The settings tree in force.
     draw
-        Returns numbers from 0 to 1.
+        Returns random numbers from 0 to 1.
     placement
-        Chooses among endpoints.
+        Chooses among the endpoints.
     """
 
     def __init__(
@@ -88,45 +93,50 @@
         zone: ZoneId = NO_ZONE,
     ) -> Self:
         """Build the scheduler of an entry in `zone`."""
-        placement = PrefixPlacement.from_settings(_narrowed(settings), zone)
+        placement = PrefixPlacement.from_settings(
+            _with_effective_share(settings),
+            zone,
+        )
         return cls(settings, draw, placement)
 
     def update_settings(self, settings: FleetSettings, now: float) -> None:
-        """Take a newer tree; waiting requests keep their places."""
+        """Apply a newer settings tree; waiting requests keep their places."""
         self.settings = settings
         self.backlog.update_settings(settings)
-        self.dispatcher.placement.update_settings(_narrowed(settings))
+        self.dispatcher.placement.update_settings(
+            _with_effective_share(settings),
+        )
         for name in self.endpoints.unknown(settings.endpoints):
             self.endpoints.remove(name)
 
     def update_endpoint(self, view: EndpointView, now: float) -> None:
-        """Take a report of an endpoint."""
-        queue = self.backlog.service(view.service)
+        """Apply a report of an endpoint."""
+        queue = self.backlog.service_queue(view.service)
         self.endpoints.take_report(queue, view)
         self.dispatcher.placement.learn(view, now)
 
     def remove_endpoint(self, endpoint: EndpointId, now: float) -> None:
-        """Forget an endpoint that is silent or gone."""
+        """Remove an endpoint that is silent or gone."""
         self.endpoints.remove(endpoint)
 
     def submit(self, request: RequestView, now: float) -> Queued | Refusal:
-        """Let a request into the queue, or refuse it at once."""
-        queue = self.backlog.service(request.service)
+        """Admit a request to the queue, or refuse it at once."""
+        queue = self.backlog.service_queue(request.service)
         if not queue.pool.live():
             return Refusal(
                 request.request_id,
                 RefusalReason.NO_ENDPOINT,
                 NO_ENDPOINT_SECONDS,
-                f'no endpoint of {request.service} takes work',
+                f'no endpoint of {request.service} accepts requests',
             )
         refusal = refusal_of(request, queue.pool)
         if refusal is not None:
             return refusal
-        waiting = queue.rank(request)
+        waiting = queue.build_waiting(request)
         estimate = queue.estimate(waiting, now)
         verdict = judge(request, estimate, now, self.draw)
         if verdict.reason is not None:
-            queue.note_refused(request, now)
+            queue.record_refused(request, now)
             return Refusal(
                 request.request_id,
                 verdict.reason,
@@ -134,18 +144,18 @@
                 verdict.detail,
             )
         self.retries.first_try(now)
-        self.backlog.enter(waiting)
+        self.backlog.enqueue(waiting)
         return Queued(estimate.until_first_token)
 
     def dispatch(self, now: float) -> Sequence[Decision]:
-        """Send what may go now, and give up what can no longer be served."""
+        """Send requests to endpoints and refuse those that are too late."""
         decisions: list[Decision] = [
-            _expired(waiting, now) for waiting in self.backlog.expire(now)
+            _expired(waiting, now) for waiting in self.backlog.pop_expired(now)
         ]
-        for waiting in self.backlog.late(now):
-            refusal = self.dispatcher.give_up_late(waiting, now)
+        for waiting in self.backlog.pop_late(now):
+            refusal = self.dispatcher.refuse_late(waiting, now)
             decisions.extend([] if refusal is None else [refusal])
-        self.backlog.release(now)
+        self.backlog.requeue_due(now)
         self.endpoints.refresh_weights(now)
         for queue in self.backlog.services.values():
             if queue.waiting:
@@ -159,18 +169,18 @@
         endpoint: EndpointId,
         now: float,
     ) -> None:
-        """Note that an endpoint runs the request."""
+        """Record that an endpoint runs the request."""
         sent = self.dispatcher.sent.get(request_id)
         if sent is not None:
             self.endpoints.note_accepted(sent, now)
 
     def declined(self, refusal: Refusal, now: float) -> Requeued | Refusal:
-        """Try the request elsewhere, or give it up."""
-        sent = self.dispatcher.recall(refusal.request_id)
+        """Queue the request for another attempt, or refuse it."""
+        sent = self.dispatcher.pop_sent(refusal.request_id)
         if sent is None:
-            return _not_known(refusal.request_id)
+            return _unknown_request(refusal.request_id)
         self.endpoints.note_declined(sent, refusal)
-        return self._try_again(sent.waiting, RetryReason.DECLINED, now)
+        return self._retry(sent.waiting, RetryReason.DECLINED, now)
 
     def lost(
         self,
@@ -178,15 +188,15 @@
         reason: RetryReason,
         now: float,
     ) -> Requeued | Refusal:
-        """Try the request again, or give it up."""
-        sent = self.dispatcher.recall(request_id)
+        """Queue the request for another attempt, or refuse it."""
+        sent = self.dispatcher.pop_sent(request_id)
         if sent is None:
-            return _not_known(request_id)
+            return _unknown_request(request_id)
         self.endpoints.note_failed(sent, now)
-        return self._try_again(sent.waiting, reason, now)
+        return self._retry(sent.waiting, reason, now)
 
     def first_token(self, request_id: RequestId, now: float) -> None:
-        """Note that the prompt has been computed."""
+        """Record that the prompt has been computed."""
         sent = self.dispatcher.sent.get(request_id)
         if sent is None or sent.first_token_at is not None:
             return
@@ -200,20 +210,20 @@
         outcome: Outcome,
         now: float,
     ) -> None:
-        """Forget the request, wherever it is, and learn from its answer."""
-        self.backlog.leave(request_id)
-        sent = self.dispatcher.recall(request_id)
+        """Remove the request and update the estimates from its answer."""
+        self.backlog.remove(request_id)
+        sent = self.dispatcher.pop_sent(request_id)
         if sent is not None:
             self.endpoints.note_finished(sent, outcome, now)
 
     def next_wake(self, now: float) -> float:
-        """Return when the next thing is due."""
+        """Return when `dispatch` is due next."""
         if self.backlog.waiting:
             return now + WAKE_SECONDS
         return now + IDLE_SECONDS
 
     def snapshot(self, now: float) -> SchedulerSnapshot:
-        """Return shares, queues and endpoints."""
+        """Return the state of workspaces, queues and endpoints."""
         return SchedulerSnapshot(
             waiting=len(self.backlog.waiting),
             running=len(self.dispatcher.sent),
@@ -224,9 +234,9 @@
             endpoints=self.endpoints.views(),
         )
 
-    def _try_again(
+    def _retry(
         self,
-        waiting: Waiting,
+        waiting: WaitingRequest,
         reason: RetryReason,
         now: float,
     ) -> Requeued | Refusal:
@@ -249,12 +259,12 @@
                 f'attempt {waiting.attempt}: {verdict}',
             )
         waiting.attempt += 1
-        self.backlog.enter_later(waiting, decision.not_before)
+        self.backlog.enqueue_delayed(waiting, decision.not_before)
         return Requeued(request.request_id, reason, decision.not_before)
 
 
-def _narrowed(settings: FleetSettings) -> FleetSettings:
-    """Return the tree with the part of long work that is in force."""
+def _with_effective_share(settings: FleetSettings) -> FleetSettings:
+    """Return the tree with the long work share reduced by the emphasis."""
     policy = msgspec.structs.replace(
         settings.policy,
         long_work_share=long_work_share(settings.policy),
@@ -262,21 +272,21 @@
     return msgspec.structs.replace(settings, policy=policy)
 
 
-def _expired(waiting: Waiting, now: float) -> Refusal:
+def _expired(waiting: WaitingRequest, now: float) -> Refusal:
     request = waiting.request
     waited = now - request.arrival
     return Refusal(
         request.request_id,
         RefusalReason.DEADLINE_PASSED,
         0,
-        f'waited {waited:.2f} s, its whole time limit',
+        f'waited {waited:.2f} s, until its time limit',
     )
 
 
-def _not_known(request_id: RequestId) -> Refusal:
+def _unknown_request(request_id: RequestId) -> Refusal:
     return Refusal(
         request_id,
         RefusalReason.UNKNOWN_REQUEST,
         0,
-        'this entry has not sent it or has given it up',
+        'this entry has not sent the request or has already ended it',
     )
--- a/packages/sycamore-core/src/sycamore_core/decisions/fair_share.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/fair_share.py
@@ -1,34 +1,45 @@
-"""Whose turn it is among the workspaces: start-time fair queueing.
+"""Start-time fair queueing among workspaces.
 
 Load pattern: one workspace sends many times its share, for a second or for an
 hour, while the others send a few requests each.
 
-Without it: the others wait behind all that the hot one has sent, in
-proportion to its burst.
+Without fair queueing, the requests of other workspaces wait behind the whole
+burst of the overloading workspace.
 
-Each workspace is a flow with a weight. A request starts, in virtual time, when
-the one before it of the same flow has been charged for, but not before the
-present; the flow with the earliest start is next. A flow that was idle starts
-at the present and so comes before all that have spent their share; what it did
-not use while idle others had, and it is not owed later.
+Each workspace is a flow with a weight. The start tag of a request is the later
+of the current virtual time and the finish tag of the previous request of its
+flow. The flow with the earliest start tag is served next. A flow that was idle
+starts at the current virtual time, before all flows that have used up their
+share. It is not compensated for capacity that it left unused while idle.
 """
 
 import heapq
 from collections.abc import Container
 
 from ..ids import WorkspaceId
-from .flow import Flow, Waiting
+from .flow import Flow, WaitingRequest
 from .lending import LendingRule
 
-#: Flows next in turn among which one that borrows is looked for. The flows of a
-#: site of ten are all seen; a turn of 2,400 costs a few microseconds.
-LENDING_FLOWS = 16
-#: Weight of the last turn in the part of its turns that a flow has lent.
+#: Number of next flows, including the lender, among which a borrower is
+#: searched. It covers all flows of a site of ten workspaces and bounds the cost
+#: of a turn with 2,400 of them to a few microseconds.
+BORROWER_SCAN_FLOWS = 16
+#: Weight of the last turn in the average fraction of lent turns.
 LENT_SMOOTHING = 0.1
 
 
 class FairQueue:
-    """Requests of all workspaces that want the same capacity."""
+    """Requests of all workspaces that compete for the same capacity.
+
+    Attributes
+    ----------
+    virtual_time
+        Largest start tag of a served request, in engine seconds per weight.
+    count
+        Number of queued requests.
+    active_weight
+        Sum of the weights of the flows that take turns.
+    """
 
     def __init__(self, lending: LendingRule) -> None:
         self.lending = lending
@@ -37,108 +48,108 @@
         self.count = 0
         self.active_weight: float = 0
         self._skipped: list[Flow] = []
-        self._turns: list[tuple[float, int, Flow]] = []
+        self._heap: list[tuple[float, int, Flow]] = []
         self._order = 0
 
-    def push(self, waiting: Waiting) -> None:
-        """Queue a request under its workspace."""
+    def push(self, waiting: WaitingRequest) -> None:
+        """Queue a request in the flow of its workspace."""
         request = waiting.request
         flow = self.flow_of(request.workspace, request.weight)
-        waiting.within_share = not flow.in_turns
-        flow.put(waiting)
+        waiting.within_share = not flow.is_active
+        flow.push(waiting)
         self.count += 1
-        if not flow.in_turns:
+        if not flow.is_active:
             flow.weight = request.weight
-            flow.finish = max(flow.finish, self.virtual_time)
-            self._enter(flow)
+            flow.virtual_finish = max(flow.virtual_finish, self.virtual_time)
+            self._activate(flow)
 
-    def remove(self, waiting: Waiting) -> None:
-        """Take a request out, wherever it stands."""
-        if waiting.queued:
+    def remove(self, waiting: WaitingRequest) -> None:
+        """Remove a request at any position."""
+        if waiting.is_queued:
             self.flows[waiting.request.workspace].remove(waiting)
             self.count -= 1
 
     def flow_of(self, workspace: WorkspaceId, weight: float) -> Flow:
-        """Return the flow of a workspace."""
+        """Return the flow of a workspace; created if there is none."""
         flow = self.flows.get(workspace)
         if flow is None:
             flow = Flow(workspace, weight)
             self.flows[workspace] = flow
         return flow
 
-    def peek(self) -> Waiting | None:
-        """Return the request whose turn it is, or None."""
-        while self._turns:
-            head = self._turns[0][-1].head()
+    def peek(self) -> WaitingRequest | None:
+        """Return the request that is next by fair queueing, or None."""
+        while self._heap:
+            head = self._heap[0][-1].head()
             if head is not None:
                 return head
-            self._leave()
+            self._deactivate_first()
         return None
 
-    def skip(self, head: Waiting) -> int:
-        """Pass over the flow whose turn it is, until `restore`.
+    def skip(self, head: WaitingRequest) -> int:
+        """Skip the flow that is next, until `restore`.
 
-        Return 1 if it was passed over, 0 if its head has left meanwhile, so
-        that its next request is to be tried.
+        Return 1 if the flow was skipped. Return 0 if its head has left the
+        queue in the meantime, so that its next request is tried.
         """
-        if not head.queued:
+        if not head.is_queued:
             return 0
-        self._skipped.append(heapq.heappop(self._turns)[-1])
+        self._skipped.append(heapq.heappop(self._heap)[-1])
         return 1
 
     def restore(self) -> None:
-        """Give the flows that were passed over their places back."""
+        """Put the skipped flows back at their places."""
         for flow in self._skipped:
-            self._put(flow)
+            self._push_flow(flow)
         self._skipped.clear()
 
-    def borrowed(self, now: float) -> Waiting | None:
-        """Return the request to which the turn is lent, or None."""
-        lender = self._turns[0][-1]
-        nearest = (turn[-1] for turn in self._turns[1:LENDING_FLOWS])
-        return self.lending.borrower(lender, nearest, now)
+    def peek_borrower(self, now: float) -> WaitingRequest | None:
+        """Return the request that borrows the current turn, or None."""
+        lender = self._heap[0][-1]
+        others = (turn[-1] for turn in self._heap[1:BORROWER_SCAN_FLOWS])
+        return self.lending.borrower(lender, others, now)
 
-    def take(self, waiting: Waiting) -> None:
-        """Serve a request, and charge the flow whose turn it is."""
-        flow = self._turns[0][-1]
+    def serve(self, waiting: WaitingRequest) -> None:
+        """Remove a request and charge the flow whose turn it uses."""
+        flow = self._heap[0][-1]
         self.remove(waiting)
         is_lent = flow.workspace != waiting.request.workspace
-        flow.lent_part += LENT_SMOOTHING * (is_lent - flow.lent_part)
+        flow.lent_fraction += LENT_SMOOTHING * (is_lent - flow.lent_fraction)
         if is_lent:
-            self.lending.note_lent(flow, waiting.cost)
+            self.lending.record_lent(flow, waiting.cost)
         else:
-            self.lending.note_served(flow, waiting.cost)
-        self.virtual_time = max(self.virtual_time, flow.finish)
-        flow.finish += waiting.cost / flow.weight
-        heapq.heappop(self._turns)
-        self._put(flow)
+            self.lending.record_served(flow, waiting.cost)
+        self.virtual_time = max(self.virtual_time, flow.virtual_finish)
+        flow.virtual_finish += waiting.cost / flow.weight
+        heapq.heappop(self._heap)
+        self._push_flow(flow)
 
     def share(self, flow: Flow) -> float:
-        """Return the part that a flow has while it is backlogged."""
-        if flow.in_turns:
+        """Return the share of a flow while it is backlogged, from 0 to 1."""
+        if flow.is_active:
             return flow.weight / self.active_weight
         return flow.weight / (flow.weight + self.active_weight)
 
-    def forget_idle(self, known: Container[WorkspaceId]) -> None:
-        """Drop idle flows of workspaces that are not known any more."""
+    def drop_idle_flows(self, known: Container[WorkspaceId]) -> None:
+        """Remove the idle flows of workspaces that are not in `known`."""
         gone = [
             name
             for name, flow in self.flows.items()
-            if not flow.in_turns and name not in known
+            if not flow.is_active and name not in known
         ]
         for name in gone:
             self.flows.pop(name)
 
-    def _enter(self, flow: Flow) -> None:
-        flow.in_turns = True
+    def _activate(self, flow: Flow) -> None:
+        flow.is_active = True
         self.active_weight += flow.weight
-        self._put(flow)
+        self._push_flow(flow)
 
-    def _leave(self) -> None:
-        flow = heapq.heappop(self._turns)[-1]
-        flow.in_turns = False
+    def _deactivate_first(self) -> None:
+        flow = heapq.heappop(self._heap)[-1]
+        flow.is_active = False
         self.active_weight = max(0, self.active_weight - flow.weight)
 
-    def _put(self, flow: Flow) -> None:
+    def _push_flow(self, flow: Flow) -> None:
         self._order += 1
-        heapq.heappush(self._turns, (flow.finish, self._order, flow))
+        heapq.heappush(self._heap, (flow.virtual_finish, self._order, flow))
--- a/packages/sycamore-core/src/sycamore_core/decisions/flow.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/flow.py
@@ -1,11 +1,12 @@
-"""The queue of one workspace: by due time, and by what is owed for its cost.
+"""The queue of one workspace, ordered by due time, with penalty densities.
 
-Load pattern: a workspace that sends more than its share, in which requests
-with a short and with a long target, and with high and low penalties, mix.
+Load pattern: a workspace that sends more than its share, with a mix of short
+and long targets and of high and low penalties.
 
-Without the sum by due time, a request with a short target is refused because
-of others that it would overtake. Without the order by penalty, those that came
-first are served, and the penalties owed are higher than they need be.
+Without the sum of costs by target time, a request with a short target is
+refused because of requests that it would overtake. Without the rank by penalty
+density, the first requests are served and the total penalty is higher than
+necessary.
 """
 
 import bisect
@@ -19,50 +20,51 @@
 from .requests import RequestView
 
 
-class Waiting(msgspec.Struct, kw_only=True, eq=False):
+class WaitingRequest(msgspec.Struct, kw_only=True, eq=False):
     """A request in a queue.
 
     Attributes
     ----------
     due
-        Rank within its workspace, see `ordering.due_time`.
-    promised
-        When its first token is promised; its rank if nothing is.
+        Time that orders the requests of a workspace, see `ordering.due_time`.
+    promised_at
+        Time by which the first token is due: the earlier of the target time and
+        `due`, in seconds.
     cost
         Estimated cost, in engine seconds.
     within_share
-        Whether nothing else of its workspace waited when it came.
-    spared
-        Whether it is served although it will be too late for its target.
-    queued
-        False once it has left the queue.
+        Whether its workspace had no other waiting request on arrival.
+    serve_late
+        Whether the request is served although it misses its target.
+    is_queued
+        Whether the request is still in its queue.
     attempt
-        Number of the attempt that comes next, from 1.
+        Number of the next attempt, from 1.
     """
 
     request: RequestView
     due: float
-    promised: float
+    promised_at: float
     cost: float
     within_share: bool = False
-    spared: bool = False
-    queued: bool = False
+    serve_late: bool = False
+    is_queued: bool = False
     attempt: int = 1
 
     @property
     def density(self) -> float:
-        """Penalty that is owed if it is not served, per engine second."""
+        """Penalty density: penalty of the request per engine second."""
         return self.request.penalty / self.cost
 
 
-#: Cost that is taken for none, in engine seconds; below that of any request.
-LEAST_LEFT = 1e-6
+#: Sum of costs that counts as zero, in engine seconds; below any cost.
+MIN_SLOT_COST = 1e-6
 
-#: Width of the slots of promised time, in seconds: an eighth of a target of two
-#: seconds, beside which a wait is judged.
+#: Width of the slots of promised times, in seconds: an eighth of a target of
+#: two seconds.
 SLOT_SECONDS = 0.25
-#: Densities of a flow that are remembered: enough to tell the better half from
-#: the other, and 1 KB for each of 2,400 workspaces.
+#: Number of recent densities kept per flow: enough to separate the upper half
+#: from the lower, with 1 KB for each of 2,400 workspaces.
 RECENT_DENSITIES = 32
 
 
@@ -76,74 +78,81 @@
 
     Attributes
     ----------
-    finish
-        Virtual time up to which it has been charged.
+    virtual_finish
+        Finish tag: the virtual time up to which the flow has been charged.
+    is_active
+        Whether the flow takes turns.
+    lending_credit
+        Cost of the turns that the flow may lend, in engine seconds.
+    lent_fraction
+        Moving average of the fraction of its turns that the flow has lent.
+    refused_at
+        Time of the last refusal by admission control, in seconds.
     costs
-        Cost of what waits, by slot of promised time, in engine seconds.
+        Cost of the waiting requests by slot of promised time, in engine
+        seconds.
     densities
-        Densities of what has come lately, sorted.
-    in_turns
-        Whether it takes part in the turns.
-    lendable
-        Cost of the turns that it may lend, in engine seconds.
-    lent_part
-        Part of its turns that it has lent lately.
-    refused_at
-        When a request of it was last refused at the door, in seconds.
+        Penalty densities of the recent requests, sorted.
     """
 
     def __init__(self, workspace: WorkspaceId, weight: float) -> None:
         self.workspace = workspace
         self.weight = weight
-        self.finish: float = 0
-        self.in_turns = False
-        self.lendable: float = 0
-        self.lent_part: float = 0
+        self.virtual_finish: float = 0
+        self.is_active = False
+        self.lending_credit: float = 0
+        self.lent_fraction: float = 0
         self.refused_at = -math.inf
         self.costs: dict[int, float] = {}
         self.densities: list[float] = []
-        self._by_due: list[tuple[float, RequestId, Waiting]] = []
+        self._by_due: list[tuple[float, RequestId, WaitingRequest]] = []
         self._recent: deque[float] = deque()
 
-    def put(self, waiting: Waiting) -> None:
-        """Queue a request."""
-        waiting.queued = True
+    def push(self, waiting: WaitingRequest) -> None:
+        """Add a request."""
+        waiting.is_queued = True
         entry = (waiting.due, waiting.request.request_id, waiting)
         heapq.heappush(self._by_due, entry)
-        slot = _slot(waiting.promised)
+        slot = _slot(waiting.promised_at)
         self.costs[slot] = self.costs.get(slot, 0) + waiting.cost
 
-    def head(self) -> Waiting | None:
+    def head(self) -> WaitingRequest | None:
         """Return the request that is due first, or None."""
         while self._by_due:
             waiting = self._by_due[0][-1]
-            if waiting.queued:
+            if waiting.is_queued:
                 return waiting
             heapq.heappop(self._by_due)
         return None
 
-    def remove(self, waiting: Waiting) -> None:
-        """Take a request out; its place is cleared when it comes up."""
-        waiting.queued = False
-        slot = _slot(waiting.promised)
+    def remove(self, waiting: WaitingRequest) -> None:
+        """Remove a request; its heap entry is dropped by `head` later."""
+        waiting.is_queued = False
+        slot = _slot(waiting.promised_at)
         left = self.costs.pop(slot) - waiting.cost
-        # Sums of floats leave a rest that would keep the slot for ever.
-        if left > LEAST_LEFT:
+        # Rounding errors leave a remainder that would keep the slot forever.
+        if left > MIN_SLOT_COST:
             self.costs[slot] = left
 
-    def cost_before(self, promised: float) -> float:
-        """Return the cost of what is promised by a time, in engine seconds."""
-        last = _slot(promised)
+    def cost_before(self, promised_at: float) -> float:
+        """Return the cost of the requests promised by a time.
+
+        The unit is engine seconds. Requests in the same slot count.
+        """
+        last = _slot(promised_at)
         before = [slot for slot in self.costs if slot <= last]
         return sum(map(self.costs.__getitem__, before))
 
     def tightness(self, rate: float, now: float) -> float:
-        """Return how much of the time to the tightest promise is spoken for.
+        """Return the highest ratio of queued work to time left.
+
+        The ratio is computed for each promised time, with the work that is due
+        by then. Above 1, some target is missed.
 
         Parameters
         ----------
         rate
-            Engine seconds a second that the flow is entitled to.
+            Engine seconds per second that the flow is entitled to.
         """
         total: float = 0
         tightest: float = 0
@@ -153,11 +162,11 @@
             tightest = max(tightest, total / max(SLOT_SECONDS, left))
         return tightest / rate
 
-    def rank(self, density: float) -> float:
-        """Return which part of what came lately owes less for its cost.
+    def record_rank(self, density: float) -> float:
+        """Return the fraction of recent densities below this one.
 
-        What owes the same counts half, so that not all are refused if all are
-        equal. The density is then counted among what came lately.
+        An equal density counts half, so that not all requests are refused if
+        all are equal. The density is then added to the recent densities.
         """
         place = bisect.bisect_left(self.densities, density)
         equal = bisect.bisect_right(self.densities, density) - place
@@ -172,5 +181,5 @@
         return (place + equal / 2) / known
 
 
-def _slot(promised: float) -> int:
-    return int(promised / SLOT_SECONDS)
+def _slot(promised_at: float) -> int:
+    return int(promised_at / SLOT_SECONDS)
--- a/packages/sycamore-core/src/sycamore_core/decisions/least_loaded.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/least_loaded.py
@@ -1,9 +1,9 @@
-"""Placement by load alone, among the endpoints that are open.
+"""Placement by load alone, among the open endpoints.
 
 Load pattern: a fleet so full that two endpoints drawn at random are closed.
 
-Without it: the few open endpoints are not found, and stay idle until chance
-finds them.
+Without this fallback, the few open endpoints are not found and stay idle until
+one of them is drawn by chance.
 """
 
 from collections.abc import Sequence
@@ -15,22 +15,22 @@
 from .scheduler import Draw
 from .tracked import TrackedCandidate, TrackedPool
 
-#: Endpoints drawn for each request. Two already keep the fullest from being
-#: much above the mean; four cost a few microseconds more and see half as much
-#: of the mean queue.
-CHOICES = 4
-#: What a running sequence adds to the step of a new one, in seconds; the slope
-#: of the published fit.
+#: Number of endpoints drawn for each request. Two already keep the longest
+#: queue close to the mean. Four halve the mean queue that a request meets and
+#: cost a few microseconds more.
+SAMPLE_SIZE = 4
+#: Step time added by each running sequence, in seconds: the slope of the
+#: published fit.
 SEQUENCE_SECONDS = 0.0027
-#: Time of a step beside a long prefill, in seconds: a chunk of 4,096 tokens at
-#: 20,000 a second.
+#: Time of a step shared with a long prefill, in seconds: a chunk of 4,096
+#: tokens at 20,000 tokens per second.
 CHUNK_SECONDS = 0.2
-#: When to look again if nothing is open, in seconds.
+#: Delay before the next attempt if no endpoint is open, in seconds.
 RETRY_SECONDS = 0.1
 
 
 class LeastLoadedPlacement(Placement):
-    """Chooses the least loaded of a few open endpoints."""
+    """Chooses the least loaded endpoint of a random sample of open ones."""
 
     def place(
         self,
@@ -41,13 +41,19 @@
     ) -> PlacementDecision:
         """Choose among the open endpoints of a `TrackedPool`."""
         if not isinstance(candidates, TrackedPool) or not candidates.open:
-            return _nothing(PlacementReason.MEMORY_FULL)
-        drawn = _drawn(candidates.calm or candidates.open, draw)
-        fitting = [one for one in drawn if one.has_room(request)]
+            return _no_endpoint(PlacementReason.MEMORY_FULL)
+        sampled = _sample(candidates.calm or candidates.open, draw)
+        fitting = [
+            candidate for candidate in sampled if candidate.has_room(request)
+        ]
         if not fitting and request.band != PromptBand.SHORT:
-            fitting = [one for one in candidates.open if one.has_room(request)]
+            fitting = [
+                candidate
+                for candidate in candidates.open
+                if candidate.has_room(request)
+            ]
         if not fitting:
-            return _nothing(PlacementReason.MEMORY_FULL)
+            return _no_endpoint(PlacementReason.MEMORY_FULL)
         best = min(fitting, key=_seconds_ahead)
         return PlacementDecision(
             endpoint=best.view.endpoint,
@@ -56,14 +62,14 @@
         )
 
 
-def _drawn(
+def _sample(
     candidates: Sequence[TrackedCandidate],
     draw: Draw,
 ) -> list[TrackedCandidate]:
     size = len(candidates)
-    if size <= CHOICES:
+    if size <= SAMPLE_SIZE:
         return list(candidates)
-    positions = [int(draw() * size) for _ in range(CHOICES)]
+    positions = [int(draw() * size) for _ in range(SAMPLE_SIZE)]
     return [candidates[min(position, size - 1)] for position in positions]
 
 
@@ -72,12 +78,12 @@
     requests = candidate.present
     if candidate.view.kind == EndpointKind.PLAIN:
         return float(requests)
-    # Each step beside a long prefill lasts as long as one chunk of it.
+    # Each step shared with a long prefill takes as long as one chunk of it.
     beside_long = 0 if candidate.is_calm else CHUNK_SECONDS
     return queued + requests * SEQUENCE_SECONDS + beside_long
 
 
-def _nothing(reason: PlacementReason) -> PlacementDecision:
+def _no_endpoint(reason: PlacementReason) -> PlacementDecision:
     return PlacementDecision(
         endpoint=None,
         reason=reason,
--- a/packages/sycamore-core/src/sycamore_core/decisions/lending.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/lending.py
@@ -1,41 +1,43 @@
-"""Which workspace may have the turn of another, above capacity.
+"""Lending of turns between workspaces above capacity.
 
-Load pattern: several workspaces that all send more than their shares, and that
-are owed very different penalties.
+Load pattern: several workspaces that all send more than their shares, with very
+different penalties.
 
-Without it: each is cut to its share, and requests that owe much are refused in
-one workspace while those that owe little are served in another.
+Without lending, each workspace is limited to its share. Requests with a high
+penalty are refused in one workspace while requests with a low penalty are
+served in another.
 
-A flow that refuses requests may lend its turn to another that refuses requests
-and whose next one owes clearly more for its cost. The lender is charged, the
-borrower is not. A flow earns the right to lend by being served, so that the
-floor of its share stays its own; one that refuses nothing never lends, whatever
-the others send.
+A flow sheds load if it has refused requests lately. Such a flow may lend its
+turn to another flow that sheds load, if the next request of the borrower has a
+clearly higher penalty density. The lender is charged and the borrower is not.
+A flow earns lending credit only by being served, which preserves the floor of
+its share. A flow that refuses no requests never lends, whatever the other flows
+send.
 """
 
 from collections.abc import Iterable
 
-from .flow import Flow, Waiting
+from .flow import Flow, WaitingRequest
 
-#: How long after a refusal at the door a flow counts as beyond its share, in
-#: seconds: above capacity refusals come many times a second.
+#: Time after a refusal by admission control for which a flow counts as beyond
+#: its share, in seconds; above capacity, there are many refusals per second.
 SHEDDING_SECONDS = 1.0
-#: How many times as much a borrower's request must owe for its cost. Lengths of
-#: prompts and answers make costs of one workspace differ by as much, and turns
-#: that go to and fro for that win nothing.
-WORTHWHILE_FACTOR = 2.0
-#: Engine seconds that a flow can have earned to lend; a few requests' cost, so
-#: that a floor holds over every few seconds and not over an hour.
-LENDABLE_LIMIT = 5.0
+#: Minimum ratio of the penalty density of the borrower to that of the lender.
+#: The costs within one workspace differ by this factor because of prompt and
+#: answer lengths, and lending for such a difference has no benefit.
+MIN_DENSITY_RATIO = 2.0
+#: Upper bound of the lending credit, in engine seconds: the cost of a few
+#: requests, so that the floor holds within seconds instead of hours.
+MAX_LENDING_CREDIT = 5.0
 
 
 class LendingRule:
-    """Decides on loans of turns.
+    """Decides which flow lends its turn to which request.
 
     Parameters
     ----------
     floor_share
-        Part of its share that a flow cannot lend, from 0 to 1.
+        Fraction of its share that a flow cannot lend, from 0 to 1.
     """
 
     def __init__(self, floor_share: float) -> None:
@@ -46,39 +48,42 @@
         lender: Flow,
         others: Iterable[Flow],
         now: float,
-    ) -> Waiting | None:
-        """Return the request that should have the turn of another flow."""
+    ) -> WaitingRequest | None:
+        """Return the request that should use the lender's turn, or None."""
         own = lender.head()
         if own is None or not is_shedding(lender, now):
             return None
         heads = [flow.head() for flow in others if is_shedding(flow, now)]
-        willing = [
+        eligible = [
             head
             for head in heads
-            if head is not None and head.cost <= lender.lendable
+            if head is not None and head.cost <= lender.lending_credit
         ]
-        best = max(willing, key=_density, default=None)
-        if best is None or best.density <= own.density * WORTHWHILE_FACTOR:
+        best = max(eligible, key=_density, default=None)
+        if best is None or best.density <= own.density * MIN_DENSITY_RATIO:
             return None
         return best
 
-    def note_served(self, flow: Flow, cost: float) -> None:
-        """Let a flow earn by a turn of its own the part it may lend."""
+    def record_served(self, flow: Flow, cost: float) -> None:
+        """Add the lending credit that a flow earns by its own turn."""
         if self.floor_share > 0:
             earned = cost * (1 - self.floor_share) / self.floor_share
-            flow.lendable = min(LENDABLE_LIMIT, flow.lendable + earned)
+            flow.lending_credit = min(
+                MAX_LENDING_CREDIT,
+                flow.lending_credit + earned,
+            )
         else:
-            flow.lendable = LENDABLE_LIMIT
+            flow.lending_credit = MAX_LENDING_CREDIT
 
-    def note_lent(self, lender: Flow, cost: float) -> None:
-        """Take a loan off what a flow may lend."""
-        lender.lendable -= cost
+    def record_lent(self, lender: Flow, cost: float) -> None:
+        """Subtract a lent turn from the lending credit of a flow."""
+        lender.lending_credit -= cost
 
 
 def is_shedding(flow: Flow, now: float) -> bool:
-    """Tell whether a flow has refused requests lately."""
+    """Return whether a flow has refused requests lately."""
     return now < flow.refused_at + SHEDDING_SECONDS
 
 
-def _density(waiting: Waiting) -> float:
+def _density(waiting: WaitingRequest) -> float:
     return waiting.density
--- a/packages/sycamore-core/src/sycamore_core/decisions/long_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/long_limits.py
@@ -1,10 +1,10 @@
-"""How much of the fleet prompts of the longest band may hold.
+"""Limits of the part of the fleet that the longest prompts may use.
 
-Load pattern: one prompt in fifty has over a hundred thousand tokens and
-carries most of all tokens.
+Load pattern: one prompt in fifty has over 100,000 tokens, and these prompts
+contain most of all tokens.
 
-Without it: long prompts take every engine within seconds, and a chat turn
-finds none on which it need not share each step with a long prefill.
+Without these limits, long prompts occupy every engine within seconds, and each
+short request shares its steps with a long prefill.
 """
 
 import math
@@ -17,27 +17,27 @@
 from .pool import Candidate
 from .requests import RequestView
 
-#: Part of an engine's memory that a long prompt leaves free. A quarter of
-#: 400,000 tokens are 25 of the largest short turns at once.
+#: Fraction of the memory of an engine that a long prompt leaves free. A quarter
+#: of 400,000 tokens holds 25 of the largest short requests at once.
 SHORT_ROOM_SHARE = 0.25
-#: Part that is left free for a prompt that a small fleet could not hold
-#: otherwise: four short turns of 5,000 tokens at a time on 400,000.
+#: Fraction left free by a prompt that a small fleet could not hold otherwise;
+#: of 400,000 tokens, it holds four short requests of 5,000 tokens at once.
 LEAST_ROOM_SHARE = 0.05
 
 
 class LongLimits(msgspec.Struct, frozen=True):
-    """What long work may take now.
+    """Capacity that remains for long work.
 
     Attributes
     ----------
     tokens
-        Memory that long work may still take, in tokens.
+        Memory that long work may still use, in tokens.
     engines
-        Engines that may still be added to those that hold long work.
+        Number of engines without long work that may still get some.
     largest_engine
         Memory of the largest engine, in tokens.
     seen_at
-        When the engines were summed up, in seconds.
+        Time at which the limits were computed, in seconds.
     """
 
     tokens: int
@@ -52,37 +52,41 @@
         share: float,
         now: float = 0,
     ) -> Self:
-        """Return what a `share` of the candidates leaves to long work.
+        """Return the limits for a `share` of the candidates.
 
-        While none is held all engines are allowed, or a small site could
-        never serve a prompt that needs more of them than the share. What an
-        engine held that is gone does not count: it will never be released,
-        and long work would wait for it for ever.
+        While there is no long work, all engines are allowed. Without this, a
+        small site could never serve a prompt that needs more engines than the
+        share. Long work on engines that are not live does not count: its
+        memory is never released, and long work would wait for it forever.
         """
         live = [
-            one for one in candidates if one.view.phase == EndpointPhase.LIVE
+            candidate
+            for candidate in candidates
+            if candidate.view.phase == EndpointPhase.LIVE
         ]
-        sizes = [one.view.capacity_tokens for one in live]
+        sizes = [candidate.view.capacity_tokens for candidate in live]
         largest = max(sizes, default=0)
-        held = sum(one.view.long_tokens for one in live)
-        if not held:
+        used = sum(candidate.view.long_tokens for candidate in live)
+        if not used:
             return cls(sum(sizes), len(sizes), largest, now)
-        holding = sum(1 for one in live if one.view.long_tokens)
+        engines_used = sum(
+            1 for candidate in live if candidate.view.long_tokens
+        )
         allowed = max(1, math.floor(share * len(sizes)))
         return cls(
-            max(0, math.floor(sum(sizes) * share) - held),
-            max(0, allowed - holding),
+            max(0, math.floor(sum(sizes) * share) - used),
+            max(0, allowed - engines_used),
             largest,
             now,
         )
 
     @property
     def largest_span(self) -> int:
-        """Tokens that long work may take of the largest engine if empty."""
+        """Memory for long work on the largest engine if empty, in tokens."""
         return math.floor(self.largest_engine * (1 - SHORT_ROOM_SHARE))
 
     def allow(self, candidate: Candidate, request: RequestView) -> bool:
-        """Tell whether an engine may take a long request whole."""
+        """Return whether an engine may run a long request without a split."""
         tokens = request.lease_tokens
         if tokens > min(self.tokens, room_for_long(candidate)):
             return False
@@ -93,7 +97,7 @@
     candidate: Candidate,
     short_room_share: float = SHORT_ROOM_SHARE,
 ) -> int:
-    """Return the tokens that long work may take of an engine now."""
+    """Return the memory of an engine free for long work, in tokens."""
     view = candidate.view
     if candidate.weight <= 0 or view.phase != EndpointPhase.LIVE:
         return 0
--- a/packages/sycamore-core/src/sycamore_core/decisions/naive.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/naive.py
@@ -1,7 +1,7 @@
-"""The naive scheduler that the others are measured against.
+"""A naive scheduler, the baseline for measurements of other schedulers.
 
-First in, first out; the endpoints in turn; no limit but memory in sum. It
-refuses only what no endpoint serves and what is past its time limit.
+It serves requests first in, first out, to the endpoints in rotation, with no
+limit of its own. It refuses only requests whose time limit has passed.
 """
 
 from collections import OrderedDict
@@ -22,39 +22,39 @@
 from .views import EndpointView
 
 _RETRY_SECONDS = 0.05
-_COME_BACK_SECONDS = 1.0
+_RETRY_AFTER_SECONDS = 1.0
 
 
 class NaiveScheduler(Scheduler):
-    """First in, first out, to the endpoints in turn."""
+    """Serves requests first in, first out, to the endpoints in rotation."""
 
     def __init__(self) -> None:
         self.endpoints: dict[EndpointId, EndpointView] = {}
         self.waiting: OrderedDict[RequestId, RequestView] = OrderedDict()
         self.running: dict[RequestId, RequestView] = {}
         self.not_before: dict[RequestId, float] = {}
-        self._turn = 0
+        self._rotation = 0
 
     def update_settings(self, settings: FleetSettings, now: float) -> None:
         """Ignore the settings: this scheduler has no policy."""
 
     def update_endpoint(self, view: EndpointView, now: float) -> None:
-        """Take a report of an endpoint."""
+        """Apply a report of an endpoint."""
         self.endpoints[view.endpoint] = view
 
     def remove_endpoint(self, endpoint: EndpointId, now: float) -> None:
-        """Forget an endpoint that is silent or gone."""
+        """Remove an endpoint that is silent or gone."""
         self.endpoints.pop(endpoint, None)
 
     def submit(self, request: RequestView, now: float) -> Queued | Refusal:
-        """Queue any request whose time limit is not past."""
+        """Queue the request unless its time limit has passed."""
         if request.deadline <= now:
             return _refusal(request.request_id, RefusalReason.DEADLINE_PASSED)
         self.waiting[request.request_id] = request
         return Queued()
 
     def dispatch(self, now: float) -> Sequence[Dispatch | Refusal]:
-        """Offer all that waits, in order of arrival."""
+        """Offer all waiting requests, in order of arrival."""
         decisions: list[Dispatch | Refusal] = []
         for request in tuple(self.waiting.values()):
             if self.not_before.get(request.request_id, now) > now:
@@ -62,7 +62,7 @@
             decision = self._decide(request, now)
             if decision is None:
                 break
-            self._leave_queue(request, decision)
+            self._dequeue(request, decision)
             decisions.append(decision)
         return decisions
 
@@ -72,10 +72,10 @@
         endpoint: EndpointId,
         now: float,
     ) -> None:
-        """Nothing to note."""
+        """Do nothing."""
 
     def declined(self, refusal: Refusal, now: float) -> Requeued | Refusal:
-        """Try again when the endpoint says."""
+        """Queue the request until the retry time given by the endpoint."""
         request_id = refusal.request_id
         wait = max(_RETRY_SECONDS, refusal.retry_after)
         self.not_before[request_id] = now + wait
@@ -87,7 +87,7 @@
         reason: RetryReason,
         now: float,
     ) -> Requeued | Refusal:
-        """Try again soon."""
+        """Queue the request again after a short delay."""
         request = self.running.pop(request_id, None)
         if request is None:
             return _refusal(request_id, RefusalReason.DEADLINE_PASSED)
@@ -97,7 +97,7 @@
         return Requeued(request_id, reason, max(soon, later))
 
     def first_token(self, request_id: RequestId, now: float) -> None:
-        """Nothing to note."""
+        """Do nothing."""
 
     def finished(
         self,
@@ -105,17 +105,17 @@
         outcome: Outcome,
         now: float,
     ) -> None:
-        """Forget the request."""
+        """Remove the request."""
         self.running.pop(request_id, None)
         self.waiting.pop(request_id, None)
         self.not_before.pop(request_id, None)
 
     def next_wake(self, now: float) -> float:
-        """Return a moment soon after now."""
+        """Return the time of the next short retry interval."""
         return now + _RETRY_SECONDS
 
     def snapshot(self, now: float) -> SchedulerSnapshot:
-        """Return the lengths of the queue and of what runs."""
+        """Return the numbers of waiting and running requests."""
         return SchedulerSnapshot(
             waiting=len(self.waiting),
             running=len(self.running),
@@ -138,11 +138,11 @@
         ]
         if not names:
             return None
-        self._turn += 1
-        chosen = names[self._turn % len(names)]
+        self._rotation += 1
+        chosen = names[self._rotation % len(names)]
         return Dispatch(request.request_id, chosen, reason='in_turn')
 
-    def _leave_queue(
+    def _dequeue(
         self,
         request: RequestView,
         decision: Dispatch | Refusal,
@@ -153,4 +153,4 @@
 
 
 def _refusal(request_id: RequestId, reason: RefusalReason) -> Refusal:
-    return Refusal(request_id, reason, _COME_BACK_SECONDS)
+    return Refusal(request_id, reason, _RETRY_AFTER_SECONDS)
--- a/packages/sycamore-core/src/sycamore_core/decisions/ordering.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/ordering.py
@@ -1,17 +1,17 @@
-"""In which order the requests of one workspace are served.
+"""Order in which the requests of one workspace are served.
 
-Load pattern: chat turns of a thousand tokens that arrive beside
-reconciliations of up to a million, all of the same workspace.
+Load pattern: short requests of 1,000 tokens mixed with prompts of up to a
+million tokens, all of the same workspace.
 
-Without it: first come, first served lets a chat turn wait for every long
-prompt before it; shortest first lets a long prompt wait for ever while chat
-turns keep coming.
+First come, first served makes a short request wait for every long prompt before
+it. Shortest first makes a long prompt wait forever while short requests keep
+arriving.
 
-A request is ranked by a point in time: its arrival plus its target for the
-first token, stretched by its band. The point never moves, and requests that
-come later get later points, so that any request is overtaken only by those
-that arrive within its own stretched target: this is the ageing that bounds
-every wait.
+Requests are ordered by due time: the arrival plus the target for the first
+token times a factor of the band. The due time never changes, and later
+requests of a band get later due times. A request is therefore overtaken only by
+requests that arrive within its own multiplied target. This aging bounds every
+wait.
 """
 
 from collections.abc import Mapping
@@ -21,11 +21,11 @@
 from ..states import PromptBand
 from .requests import RequestView
 
-#: How many times its target a request of a band may be put behind, at a short
-#: emphasis of 1. A prompt of the next band is about ten times as long, and its
-#: prefill too; doubling per band lets a tenth of its extra time be spent on
-#: shorter requests and still ends a long one within eight targets.
-STRETCH: Mapping[PromptBand, float] = MappingProxyType(
+#: Factor of the target by band, at a short emphasis of 1. Prompts of the next
+#: band are about ten times as long, as is their prefill. Doubling per band
+#: leaves a tenth of this extra time to shorter requests, and a huge prompt
+#: still ends within eight targets.
+TARGET_FACTORS: Mapping[PromptBand, float] = MappingProxyType(
     {
         PromptBand.SHORT: 1,
         PromptBand.MEDIUM: 2,
@@ -33,10 +33,10 @@
         PromptBand.HUGE: 8,
     },
 )
-#: Targets that rank a request without one of its own, in seconds: several
-#: times the prefill of the longest prompt of the band at 20,000 tokens a
-#: second (0.2, 1.6, 5 and 50 s), and no more than a guest waits for a chat.
-RANKING_SECONDS: Mapping[PromptBand, float] = MappingProxyType(
+#: Targets used to order requests without a target, in seconds: several times
+#: the prefill of the longest prompt of the band at 20,000 tokens per second
+#: (0.2, 1.6, 5 and 50 s), and no longer than a chat user waits.
+DEFAULT_TARGET_SECONDS: Mapping[PromptBand, float] = MappingProxyType(
     {
         PromptBand.SHORT: 2,
         PromptBand.MEDIUM: 6,
@@ -44,38 +44,44 @@
         PromptBand.HUGE: 120,
     },
 )
-#: Part of the long work's share of the fleet that is given up at a short
-#: emphasis of 1. Half of it left long prompts too few engines: of eight at 0.8
-#: load, two were left, and prompts beyond 800,000 tokens missed their target.
-YIELDED_SHARE = 0.25
-#: Priority in the engine by band; lower is computed first.
+#: Reduction of the fleet share of long work at a short emphasis of 1, as a
+#: fraction. At a load of 0.8, a reduction by half leaves two of eight engines
+#: to long prompts, and prompts beyond 800,000 tokens miss their target.
+EMPHASIS_REDUCTION = 0.25
+#: Priority in the engine by band; a lower value is computed first.
 PRIORITY: Mapping[PromptBand, int] = MappingProxyType(
     {band: position for position, band in enumerate(PromptBand)},
 )
 
 
 def due_time(request: RequestView, short_emphasis: float) -> float:
-    """Return the point in time by which a request is ranked, in seconds.
+    """Return the time by which a request is ordered, in seconds.
 
     Parameters
     ----------
     short_emphasis
-        From 0 to 1. At 0 only the targets decide; at 1 the target of a
-        medium, long or huge prompt counts two, four or eight times, so that
-        shorter requests overtake it for that much longer. It also narrows
-        the part of the fleet that long work may hold, see `long_work_share`.
+        Emphasis on short requests, from 0 to 1. At 0 only the targets decide.
+        At 1 the target of a medium, long or huge prompt is multiplied by two,
+        four or eight, so that shorter requests overtake the prompt for longer.
+        The emphasis also reduces the part of the fleet for long work, see
+        `long_work_share`.
     """
-    target = request.target_seconds or RANKING_SECONDS[request.band]
-    return request.arrival + target * STRETCH[request.band] ** short_emphasis
+    target = request.target_seconds or DEFAULT_TARGET_SECONDS[request.band]
+    return (
+        request.arrival
+        + target * TARGET_FACTORS[request.band] ** short_emphasis
+    )
 
 
 def long_work_share(policy: PolicySettings) -> float:
-    """Return the part of the fleet that long work may hold."""
-    return policy.long_work_share * (1 - YIELDED_SHARE * policy.short_emphasis)
+    """Return the fraction of the fleet that long work may use."""
+    return policy.long_work_share * (
+        1 - EMPHASIS_REDUCTION * policy.short_emphasis
+    )
 
 
 def target_time(request: RequestView) -> float:
-    """Return by when the first token is committed to; infinity if not."""
+    """Return the target time of the first token; infinity without one."""
     if request.target_seconds > 0:
         return request.arrival + request.target_seconds
     return float('inf')
--- a/packages/sycamore-core/src/sycamore_core/decisions/outstanding.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/outstanding.py
@@ -1,9 +1,9 @@
-"""Requests that were sent to endpoints and are not over."""
+"""Requests that were sent to endpoints and have not ended."""
 
 import msgspec
 
 from ..ids import EndpointId
-from .flow import Waiting
+from .flow import WaitingRequest
 from .tracked import TrackedCandidate
 
 
@@ -12,22 +12,27 @@
 
     Attributes
     ----------
+    waiting
+        The request with its due time and cost.
+    endpoint
+        Endpoint that serves the request.
     members
-        Other endpoints of its group; empty for one engine.
+        Other endpoints of its group; empty if one engine runs the request.
     new_tokens
-        Prompt tokens that are expected to be computed, by each endpoint.
+        Prompt tokens that each endpoint is expected to compute.
     lease_tokens
-        Memory that it is expected to hold at each endpoint, in tokens.
+        Memory that the request is expected to use at each endpoint, in tokens.
     holders
-        What was charged for it; an endpoint that was removed and came back
-        since is another one and was charged nothing.
+        Candidates that were charged for the request. An endpoint that was
+        removed and added again is a new candidate without this charge.
     tokens_ahead
-        Prompt tokens that its engine computes before its first token.
+        Prompt tokens that the engine computes before the first token.
     sent_at, first_token_at
-        Times, in seconds; the second one None until the first token comes.
+        Monotonic times, in seconds; `first_token_at` is None until the first
+        token arrives.
     """
 
-    waiting: Waiting
+    waiting: WaitingRequest
     endpoint: EndpointId
     members: tuple[EndpointId, ...]
     new_tokens: int
@@ -39,5 +44,5 @@
 
     @property
     def endpoints(self) -> tuple[EndpointId, ...]:
-        """All endpoints that hold a part of it."""
+        """All endpoints that run a part of the request."""
         return (*self.members, self.endpoint)
--- a/packages/sycamore-core/src/sycamore_core/decisions/requests.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/requests.py
@@ -1,4 +1,4 @@
-"""What the decisions know of a request."""
+"""Properties of a request that the decisions use."""
 
 import msgspec
 
@@ -7,23 +7,24 @@
 
 
 class RequestView(msgspec.Struct, frozen=True, kw_only=True):
-    """A request as the decisions see it.
+    """A request as seen by the scheduling decisions.
 
     Attributes
     ----------
     arrival, deadline
         Monotonic times, in seconds.
     target_seconds, penalty
-        Time to first token that is committed to, in seconds, and the fixed
-        amount owed if it is missed; 0 and 0 if nothing is committed to.
+        Target for the time to first token, in seconds, and the fixed amount
+        owed if the target is missed; 0 and 0 for a request without a target.
     weight
-        Share of the workspace relative to the others.
+        Share of the workspace relative to the other workspaces.
     prefix_blocks
-        Hashes of the blocks of the prompt, the first block first.
+        Hashes of the blocks of the prompt, in prompt order.
     pinned_to
-        The only endpoint that may run the request: the one that its id is
-        bound to, or the home of its caller's key. If that endpoint cannot,
-        the request is refused; it is never placed elsewhere.
+        The only endpoint that may run the request: the endpoint that its
+        request id is bound to, or the home endpoint of the caller's key. If
+        this endpoint cannot run the request, the request is refused and is
+        never placed elsewhere.
     """
 
     request_id: RequestId
@@ -44,5 +45,5 @@
 
     @property
     def lease_tokens(self) -> int:
-        """Memory that the request may need at most, in tokens."""
+        """Maximum memory that the request may need, in tokens."""
         return self.prompt_tokens + self.max_output_tokens
--- a/packages/sycamore-core/src/sycamore_core/decisions/scheduler.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/scheduler.py
@@ -1,7 +1,7 @@
-"""The interface of all decisions that an entry process takes.
+"""Interface of all scheduling decisions of an entry process.
 
 The entry process and the virtual-time driver of the tests both run a
-`Scheduler` and nothing else, so that what is measured is what runs.
+`Scheduler`, so that the tests measure the code that runs in production.
 """
 
 import abc
@@ -15,12 +15,13 @@
 from .requests import RequestView
 from .views import EndpointView
 
-#: Returns a number from 0 to 1; a seeded one makes every decision repeatable.
+#: Returns a random number from 0 to 1. A seeded generator makes every decision
+#: reproducible.
 Draw = Callable[[], float]
 
 
 class Queued(msgspec.Struct, frozen=True):
-    """The request waits to be offered to an endpoint.
+    """The request is queued until it is offered to an endpoint.
 
     Attributes
     ----------
@@ -32,14 +33,16 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """The request is given up; its caller is told at once.
+    """The request is refused; the caller is informed at once.
 
     Attributes
     ----------
+    reason
+        Reason of the refusal.
     retry_after
-        When to come back, in seconds.
+        Time after which the caller may retry, in seconds.
     detail
-        What the decision was based on, in words for an operator.
+        Figures that the decision is based on, as a text for an operator.
     """
 
     request_id: RequestId
@@ -53,11 +56,15 @@
 
     Attributes
     ----------
+    endpoint
+        Endpoint that serves the request; the leader of its group.
+    priority
+        Priority in the engine; a lower value is served first.
     members
-        Endpoints that hold the other spans of a prompt beyond one engine, in
-        span order; `endpoint` leads them.
+        Endpoints that compute the other spans of a prompt that exceeds one
+        engine, in span order.
     reason
-        Why this endpoint, for logs and counters.
+        Reason for choosing this endpoint, for logs and counters.
     """
 
     request_id: RequestId
@@ -76,16 +83,18 @@
 
 
 class WorkspaceSnapshot(msgspec.Struct, frozen=True):
-    """Share of one workspace, as an operator sees it.
+    """Usage of one workspace, for an operator.
 
     Attributes
     ----------
+    waiting, running
+        Numbers of waiting and of running requests.
     served_tokens
-        Tokens charged lately, halved every minute.
+        Tokens charged, with a half-life of one minute.
     share
-        Part of all that was served lately, from 0 to 1.
+        Fraction of all served tokens, from 0 to 1.
     entitled
-        Part that its weight entitles it to, from 0 to 1.
+        Fraction that the weight of the workspace entitles it to, from 0 to 1.
     """
 
     workspace: WorkspaceId
@@ -97,7 +106,7 @@
 
 
 class SchedulerSnapshot(msgspec.Struct, frozen=True):
-    """State of the scheduler, as an operator sees it."""
+    """State of the scheduler, for an operator."""
 
     waiting: int
     running: int
@@ -106,23 +115,23 @@
 
 
 class Scheduler(abc.ABC):
-    """Decides whom to serve, in which order, where, and what to try again.
+    """Decides on admission, order, placement and retries of requests.
 
-    A request goes through `submit`, then `dispatch` one or more times, each
-    answered by `accepted`, `declined` or `lost`, and ends by `finished`.
+    A request starts with `submit`. Each `dispatch` of the request is followed
+    by `accepted`, `declined` or `lost`. The request ends with `finished`.
     """
 
     @abc.abstractmethod
     def update_settings(self, settings: FleetSettings, now: float) -> None:
-        """Take a newer settings tree into force."""
+        """Apply a newer settings tree."""
 
     @abc.abstractmethod
     def update_endpoint(self, view: EndpointView, now: float) -> None:
-        """Take a report of an endpoint."""
+        """Apply a report of an endpoint."""
 
     @abc.abstractmethod
     def remove_endpoint(self, endpoint: EndpointId, now: float) -> None:
-        """Forget an endpoint that is silent or gone."""
+        """Remove an endpoint that is silent or gone."""
 
     @abc.abstractmethod
     def submit(self, request: RequestView, now: float) -> Queued | Refusal:
@@ -130,7 +139,7 @@
 
     @abc.abstractmethod
     def dispatch(self, now: float) -> Sequence[Dispatch | Refusal]:
-        """Return what is to be offered or given up now, in order."""
+        """Return the requests to offer or to refuse now, in order."""
 
     @abc.abstractmethod
     def accepted(
@@ -139,16 +148,16 @@
         endpoint: EndpointId,
         now: float,
     ) -> None:
-        """Note that an endpoint runs the request."""
+        """Record that an endpoint runs the request."""
 
     @abc.abstractmethod
     def declined(self, refusal: Refusal, now: float) -> Requeued | Refusal:
-        """Decide what follows when an endpoint does not run the request.
+        """Retry or refuse a request that an endpoint has declined.
 
         Parameters
         ----------
         refusal
-            The endpoint's reason and when it would take the request.
+            Reason of the endpoint, and when it would accept the request.
         """
 
     @abc.abstractmethod
@@ -158,15 +167,15 @@
         reason: RetryReason,
         now: float,
     ) -> Requeued | Refusal:
-        """Decide what follows when an attempt that never ran is over.
+        """Retry or refuse a request whose attempt has failed.
 
-        It is called only when running the request again breaks no promise:
-        it is idempotent, or it is known not to have run.
+        Called only if running the request again is safe: the request is
+        idempotent, or it is known that the attempt did not run it.
         """
 
     @abc.abstractmethod
     def first_token(self, request_id: RequestId, now: float) -> None:
-        """Note that the caller's first token has come."""
+        """Record that the first token has arrived."""
 
     @abc.abstractmethod
     def finished(
@@ -175,11 +184,11 @@
         outcome: Outcome,
         now: float,
     ) -> None:
-        """Forget a request that is answered, failed or abandoned."""
+        """Remove a request that is answered, failed or abandoned."""
 
     @abc.abstractmethod
     def next_wake(self, now: float) -> float:
-        """Return when `dispatch` is next due at the latest, in seconds."""
+        """Return the latest time of the next `dispatch`, in seconds."""
 
     @abc.abstractmethod
     def snapshot(self, now: float) -> SchedulerSnapshot:
--- a/packages/sycamore-core/src/sycamore_core/decisions/service_queue.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/service_queue.py
@@ -1,15 +1,15 @@
 """The queues and the endpoints of one service.
 
-Load pattern: chat turns, long prompts and the longest on the same engines, of
-many workspaces.
+Load pattern: short, long and huge prompts of many workspaces on the same
+engines.
 
-Without separate lanes, the longest prompt at the head of a workspace's queue
-holds back its chat turns until an engine has memory for it.
+Without separate lanes, a huge prompt at the head of the queue of a workspace
+blocks its short requests until an engine has memory for the prompt.
 
-A lane is a fair queue of its own for prompts of like length. The lane of the
-shortest prompts goes first, until the head of a longer lane has waited its part
-of its target: from then on it is urgent and goes first, so that no lane starves
-another.
+A lane is a separate fair queue for prompts of similar length. The lane of the
+shortest prompts is served first until the head of a longer lane has waited a
+fraction of its target. Then the longer lane is urgent and is served first, so
+that no lane starves.
 """
 
 import enum
@@ -21,28 +21,33 @@
 from .admission import WaitEstimate
 from .estimates import DrainRate, SpeedEstimate
 from .fair_share import FairQueue
-from .flow import Waiting
+from .flow import WaitingRequest
 from .lending import LendingRule
-from .ordering import RANKING_SECONDS, due_time, long_work_share, target_time
+from .ordering import (
+    DEFAULT_TARGET_SECONDS,
+    due_time,
+    long_work_share,
+    target_time,
+)
 from .requests import RequestView
 from .tracked import WINDOW_SECONDS, TrackedPool
 
-#: Part of its target that the head of a longer lane waits behind shorter ones
-#: at a short emphasis of 1; the other half is left for its prefill.
-YIELDED_PART = 0.5
-#: Flows looked at for a head that fits when the first ones do not.
-SCAN_FLOWS = 8
+#: Fraction of its target for which the head of a longer lane yields to shorter
+#: lanes at a short emphasis of 1; the other half is left for its prefill.
+MAX_YIELD_FRACTION = 0.5
+#: Number of flows that are skipped at most in search of a head that fits.
+MAX_SCANNED_FLOWS = 8
 
 
 class LaneName(enum.StrEnum):
-    """Classes of prompts that queue for themselves."""
+    """Classes of prompts with separate queues."""
 
     SHORT = 'short'
     LONG = 'long'
     HUGE = 'huge'
 
 
-LANES: Mapping[PromptBand, LaneName] = MappingProxyType(
+LANE_OF_BAND: Mapping[PromptBand, LaneName] = MappingProxyType(
     {
         PromptBand.SHORT: LaneName.SHORT,
         PromptBand.MEDIUM: LaneName.SHORT,
@@ -52,10 +57,10 @@
 )
 
 
-#: How long a lane pauses after a try in vain, in seconds. A try of the longest
-#: lane looks at every endpoint; one of the shortest looks at a few, and a pause
-#: would be seen in the time to first token.
-PAUSES: Mapping[LaneName, float] = MappingProxyType(
+#: Pause of a lane after no head could be placed, in seconds. An attempt of the
+#: longest lane examines every endpoint. An attempt of the shortest lane
+#: examines a few, and a pause there would increase the time to first token.
+PAUSE_SECONDS: Mapping[LaneName, float] = MappingProxyType(
     {
         LaneName.SHORT: 0,
         LaneName.LONG: 0.05,
@@ -65,12 +70,19 @@
 
 
 class Lane:
-    """Requests of like length and how fast they are sent.
+    """Requests of similar length, with their drain rate.
 
     Parameters
     ----------
     pause
-        How long no head is tried again after none fitted, in seconds.
+        Time without attempts after no head could be placed, in seconds.
+
+    Attributes
+    ----------
+    blocked_version
+        Version of the pool at which no head could be placed; -1 if none.
+    blocked_until
+        End of the current pause, in seconds.
     """
 
     def __init__(self, lending: LendingRule, pause: float) -> None:
@@ -81,22 +93,22 @@
         self.blocked_until: float = 0
 
     def is_blocked(self, version: int, now: float) -> bool:
-        """Tell whether nothing has changed since the last vain try."""
+        """Return whether another attempt to place a head would be useless."""
         return version == self.blocked_version or now < self.blocked_until
 
     def block(self, version: int, now: float) -> None:
-        """Note that no head fits anywhere."""
+        """Record that no head could be placed."""
         self.blocked_version = version
         self.blocked_until = now + self.pause
 
-    def push(self, waiting: Waiting) -> None:
-        """Queue a request, which may fit where the heads so far did not."""
+    def push(self, waiting: WaitingRequest) -> None:
+        """Queue a request and unblock the lane, as the request may fit."""
         self.queue.push(waiting)
         self.blocked_version = -1
 
 
 class ServiceQueue:
-    """What waits for one service and where it may go."""
+    """The waiting requests of one service and its endpoints."""
 
     def __init__(self, policy: PolicySettings) -> None:
         self.policy = policy
@@ -104,11 +116,12 @@
         self.speed = SpeedEstimate()
         self.lending = LendingRule(policy.floor_share)
         self.lanes = {
-            name: Lane(self.lending, pause) for name, pause in PAUSES.items()
+            name: Lane(self.lending, pause)
+            for name, pause in PAUSE_SECONDS.items()
         }
 
     def update_policy(self, policy: PolicySettings) -> None:
-        """Take another policy; what waits keeps its place."""
+        """Apply a new policy; queued requests keep their places."""
         self.policy = policy
         self.lending.floor_share = policy.floor_share
 
@@ -119,49 +132,55 @@
 
     def lane_of(self, request: RequestView) -> Lane:
         """Return the lane of a request."""
-        return self.lanes[LANES[request.band]]
-
-    def rank(self, request: RequestView, attempt: int = 1) -> Waiting:
-        """Return a request with its place and cost."""
+        return self.lanes[LANE_OF_BAND[request.band]]
+
+    def build_waiting(
+        self,
+        request: RequestView,
+        attempt: int = 1,
+    ) -> WaitingRequest:
+        """Return a request with its due time and cost."""
         due = due_time(request, self.policy.short_emphasis)
-        return Waiting(
+        return WaitingRequest(
             request=request,
             due=due,
-            promised=min(due, target_time(request)),
+            promised_at=min(due, target_time(request)),
             cost=self.speed.cost(request, request.prompt_tokens),
             attempt=attempt,
         )
 
-    def estimate(self, waiting: Waiting, now: float) -> WaitEstimate:
-        """Return what a request would meet if it were queued now."""
+    def estimate(self, waiting: WaitingRequest, now: float) -> WaitEstimate:
+        """Return the times expected for a request if it were queued now."""
         request = waiting.request
         lane = self.lane_of(request)
         flow = lane.queue.flow_of(request.workspace, request.weight)
         share = lane.queue.share(flow)
-        kept = 1 - flow.lent_part
-        rate = share * kept * lane.drain.rate(self._endpoints_of(request))
+        own_fraction = 1 - flow.lent_fraction
+        rate = (
+            share * own_fraction * lane.drain.rate(self._endpoints_of(request))
+        )
         prefill = self.prefill_seconds(request)
         return WaitEstimate(
-            ahead=flow.cost_before(waiting.promised),
+            ahead=flow.cost_before(waiting.promised_at),
             rate=rate,
             tightness=flow.tightness(rate, now),
-            rank=flow.rank(waiting.density),
+            rank=flow.record_rank(waiting.density),
             first_token_seconds=prefill + WINDOW_SECONDS,
             answer_seconds=self.speed.answer_seconds(request),
             share=share,
         )
 
     def prefill_seconds(self, request: RequestView) -> float:
-        """Return the time to compute a prompt that nothing is cached of."""
+        """Return the prefill time without a cached prefix, in seconds."""
         return self.speed.prefill_seconds(request.prompt_tokens)
 
-    def note_refused(self, request: RequestView, now: float) -> None:
-        """Note that a request was refused for want of room in its share."""
+    def record_refused(self, request: RequestView, now: float) -> None:
+        """Record that a request was refused because its share is used up."""
         queue = self.lane_of(request).queue
         queue.flow_of(request.workspace, request.weight).refused_at = now
 
-    def lanes_in_turn(self, now: float) -> list[Lane]:
-        """Return the lanes that have work, urgent ones first."""
+    def lanes_by_urgency(self, now: float) -> list[Lane]:
+        """Return the lanes with waiting requests, urgent lanes first."""
         urgent: list[Lane] = []
         other: list[Lane] = []
         for lane in self.lanes.values():
@@ -174,34 +193,34 @@
                 other.append(lane)
         return urgent + other
 
-    def holds_lane(self, request: RequestView, now: float) -> bool:
-        """Tell whether others of its lane wait for a head that fits nowhere.
+    def blocks_lane(self, request: RequestView, now: float) -> bool:
+        """Return whether a head that fits nowhere blocks the rest of its lane.
 
-        What the longest prompt needs comes free only if smaller long ones do
-        not take each part of it first. Without this, those of a million
-        tokens miss their targets while those of 200,000 pass them by.
+        The memory for a huge prompt becomes free only if smaller long prompts
+        do not use it first. Without this, prompts of a million tokens miss
+        their targets while prompts of 200,000 tokens overtake them.
         """
-        if LANES[request.band] != LaneName.HUGE:
+        if LANE_OF_BAND[request.band] != LaneName.HUGE:
             return False
         return self._is_urgent(request, now)
 
     def observe(self, now: float) -> None:
-        """Measure the rates at which the lanes drain."""
+        """Update the drain rates of the lanes."""
         for name, lane in self.lanes.items():
             if lane.queue.count:
                 lane.drain.observe(now, self._endpoints_in(name))
             else:
-                lane.drain.rest()
+                lane.drain.reset()
 
     def _is_urgent(self, request: RequestView, now: float) -> bool:
-        if LANES[request.band] == LaneName.SHORT:
+        if LANE_OF_BAND[request.band] == LaneName.SHORT:
             return False
-        target = request.target_seconds or RANKING_SECONDS[request.band]
-        yielded = self.policy.short_emphasis * YIELDED_PART * target
-        return now >= request.arrival + yielded
+        target = request.target_seconds or DEFAULT_TARGET_SECONDS[request.band]
+        yield_seconds = self.policy.short_emphasis * MAX_YIELD_FRACTION * target
+        return now >= request.arrival + yield_seconds
 
     def _endpoints_of(self, request: RequestView) -> float:
-        return self._endpoints_in(LANES[request.band])
+        return self._endpoints_in(LANE_OF_BAND[request.band])
 
     def _endpoints_in(self, name: LaneName) -> float:
         if name == LaneName.SHORT:
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders.py
@@ -1,4 +1,4 @@
-"""Requests, endpoints and settings for the tests of the scheduler."""
+"""Builders of requests, endpoint views, settings and schedulers."""
 
 import random
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair.py
@@ -15,12 +15,12 @@
 )
 
 
-def single(decisions):
+def only_decision(decisions):
     assert len(decisions) == 1
     return decisions[0]
 
 
-def sent_names(scheduler, now):
+def dispatch_ids(scheduler, now):
     return [
         one.request_id
         for one in scheduler.dispatch(now)
@@ -28,10 +28,10 @@
     ]
 
 
-def test_request_goes_through_and_is_forgotten():
+def test_finished_request_leaves_no_counts():
     scheduler = build_scheduler()
     assert isinstance(scheduler.submit(build_request('a'), 0), Queued)
-    sent = single(scheduler.dispatch(0))
+    sent = only_decision(scheduler.dispatch(0))
     assert sent.endpoint == 'e0'
     scheduler.accepted('a', 'e0', 0.01)
     scheduler.first_token('a', 0.1)
@@ -40,39 +40,39 @@
     assert (snapshot.waiting, snapshot.running) == (0, 0)
 
 
-def test_engine_queue_is_kept_short():
+def test_few_requests_are_sent_before_first_tokens():
     scheduler = build_scheduler()
     for number in range(20):
         scheduler.submit(build_request(f'a{number}', deadline=999), 0)
-    first = sent_names(scheduler, 0)
+    first = dispatch_ids(scheduler, 0)
     assert 1 <= len(first) <= 5
-    assert not sent_names(scheduler, 0.1)
+    assert not dispatch_ids(scheduler, 0.1)
     for name in first:
         scheduler.first_token(name, 0.2)
-    assert sent_names(scheduler, 0.3)
+    assert dispatch_ids(scheduler, 0.3)
 
 
-def test_hot_workspace_is_not_before_another():
-    """One school sends a hundred requests at once, then another sends one.
+def test_overloading_workspace_does_not_delay_another():
+    """One workspace sends 100 requests at once, then another sends one.
 
-    Without shares, the guest of the second waits behind all hundred.
+    Without shares, the request of the second waits behind all 100.
     """
     scheduler = build_scheduler()
     for number in range(100):
         request = build_request(f'hot{number}', target_seconds=0)
         scheduler.submit(request, 0)
-    sent = sent_names(scheduler, 0)
+    sent = dispatch_ids(scheduler, 0)
     scheduler.submit(build_request('guest', workspace='w1', arrival=0.1), 0.1)
     scheduler.first_token(sent[0], 0.1)
     scheduler.first_token(sent[1], 0.1)
-    assert sent_names(scheduler, 0.1)[0] == 'guest'
+    assert dispatch_ids(scheduler, 0.1)[0] == 'guest'
 
 
-def test_refusal_says_why_and_when_to_come_back():
-    """More chat turns arrive than the engine can answer within the target.
+def test_refusal_gives_reason_and_retry_delay():
+    """More requests arrive than the engine can answer within the target.
 
-    Those beyond are refused at once, with a time after which the queue is
-    short enough again.
+    The excess requests are refused at once, with the time after which the
+    queue is short enough again.
     """
     scheduler = build_scheduler()
     answers = [
@@ -86,7 +86,7 @@
     assert all('(share 1.000)' in one.detail for one in refused)
 
 
-def test_request_without_target_is_refused_by_its_time_limit_only():
+def test_request_without_target_is_refused_only_for_its_time_limit():
     scheduler = build_scheduler()
     answers = [
         scheduler.submit(
@@ -99,12 +99,12 @@
     assert reasons == {RefusalReason.DEADLINE_UNREACHABLE}
 
 
-def test_nothing_goes_to_an_endpoint_that_drains():
+def test_draining_endpoint_gets_no_requests():
     scheduler = build_scheduler()
     view = build_view(phase=EndpointPhase.DRAINING)
     scheduler.submit(build_request('a'), 0)
     scheduler.update_endpoint(view, 0)
-    assert not sent_names(scheduler, 0)
+    assert not dispatch_ids(scheduler, 0)
     answer = scheduler.submit(build_request('b'), 0)
     assert answer.reason == RefusalReason.NO_ENDPOINT
 
@@ -112,20 +112,20 @@
 def test_declined_request_is_offered_again():
     scheduler = build_scheduler(endpoints=2)
     scheduler.submit(build_request('a'), 0)
-    first = single(scheduler.dispatch(0))
+    first = only_decision(scheduler.dispatch(0))
     answer = scheduler.declined(
         Refusal('a', RefusalReason.MEMORY_FULL, 0.1),
         0.01,
     )
     assert isinstance(answer, Requeued)
-    second = single(scheduler.dispatch(answer.not_before))
+    second = only_decision(scheduler.dispatch(answer.not_before))
     assert second.endpoint != first.endpoint
 
 
-def test_lost_request_is_offered_again_a_few_times_only():
+def test_failing_request_is_retried_a_limited_number_of_times():
     """An endpoint fails each request at once.
 
-    Without a limit, the same requests would come back without an end.
+    Without a limit, the same request would be retried forever.
     """
     scheduler = build_scheduler()
     scheduler.submit(build_request('a'), 0)
@@ -140,32 +140,32 @@
     assert not scheduler.snapshot(now).waiting
 
 
-def test_time_limit_that_passes_in_the_queue_is_told():
+def test_request_that_expires_in_the_queue_is_refused():
     scheduler = build_scheduler()
     for number in range(9):
         scheduler.submit(build_request(f'a{number}', target_seconds=0), 0)
-    sent_names(scheduler, 0)
+    dispatch_ids(scheduler, 0)
     refusals = scheduler.dispatch(31)
     assert {one.reason for one in refusals} == {RefusalReason.DEADLINE_PASSED}
     assert not scheduler.snapshot(31).waiting
 
 
-def test_prompt_beyond_one_engine_goes_to_a_group():
+def test_prompt_larger_than_one_engine_goes_to_a_group():
     scheduler = build_scheduler(endpoints=6)
     request = build_huge('a', prompt_tokens=1_000_000)
     scheduler.submit(request, 0)
-    sent = single(scheduler.dispatch(0))
+    sent = only_decision(scheduler.dispatch(0))
     assert len(sent.members) >= 2
     assert sent.endpoint not in sent.members
 
 
-def test_short_request_is_not_held_back_by_the_longest_before_it():
+def test_short_request_is_not_blocked_by_huge_prompts():
     scheduler = build_scheduler(endpoints=1)
     for number in range(4):
         scheduler.submit(build_huge(f'long{number}', target_seconds=0), 0)
-    assert len(sent_names(scheduler, 0)) == 1
+    assert len(dispatch_ids(scheduler, 0)) == 1
     scheduler.submit(build_request('turn', arrival=0.1), 0.1)
-    assert sent_names(scheduler, 0.1) == ['turn']
+    assert dispatch_ids(scheduler, 0.1) == ['turn']
 
 
 def test_plain_service_needs_no_memory():
@@ -179,17 +179,17 @@
         max_output_tokens=0,
     )
     scheduler.submit(request, 0)
-    sent = single(scheduler.dispatch(0))
+    sent = only_decision(scheduler.dispatch(0))
     assert sent.endpoint == 'p0'
     scheduler.finished('a', Outcome.COMPLETE, 0.1)
     assert not scheduler.snapshot(1).running
 
 
-def test_long_work_is_kept_to_its_part_of_the_engines():
-    """More archives arrive than the part of long work holds.
+def test_long_work_uses_at_most_its_share_of_engines():
+    """More huge prompts arrive than the share of long work allows.
 
-    Without the cap they take every engine, and each chat turn shares its
-    steps with one of them.
+    Without the limit they occupy every engine, and each short request shares
+    its steps with one of them.
     """
     scheduler = build_scheduler(endpoints=8, short_emphasis=1)
     for number in range(20):
@@ -199,21 +199,22 @@
     assert len(engines) == 3
 
 
-def test_higher_emphasis_leaves_more_engines_to_short_work():
-    taken = []
+def test_higher_short_emphasis_reduces_long_work():
+    sent_counts = []
     for emphasis in (0, 1):
         scheduler = build_scheduler(endpoints=8, short_emphasis=emphasis)
         for number in range(20):
             scheduler.submit(build_huge(f'a{number}', target_seconds=0), 0)
         sent = [scheduler.dispatch(step / 10) for step in range(20)]
-        taken.append(sum(len(decisions) for decisions in sent))
-    assert taken[0] > taken[1]
+        sent_counts.append(sum(len(decisions) for decisions in sent))
+    assert sent_counts[0] > sent_counts[1]
 
 
-def test_pinned_request_goes_to_its_endpoint_only():
-    """A caller sends a deposit again whose id is bound to one endpoint.
+def test_pinned_request_goes_only_to_its_endpoint():
+    """A caller repeats a request whose id is bound to one endpoint.
 
-    Placed like any other, it would run at another and be recorded twice.
+    Placed like other requests, it would run at another endpoint as well and
+    have its effect twice.
     """
     scheduler = build_scheduler(endpoints=8)
     for number in range(16):
@@ -227,31 +228,31 @@
     scheduler = build_scheduler(endpoints=2)
     scheduler.submit(build_request('a', pinned_to='e1'), 0)
     scheduler.update_endpoint(build_view('e1', phase=EndpointPhase.GONE), 0)
-    refusal = single(scheduler.dispatch(0))
+    refusal = only_decision(scheduler.dispatch(0))
     assert refusal.reason == RefusalReason.NO_ENDPOINT
     later = scheduler.submit(build_request('b', pinned_to='e1'), 0)
     assert later.reason == RefusalReason.NO_ENDPOINT
 
 
-def test_pinned_request_waits_for_memory_without_holding_back_others():
+def test_pinned_request_waiting_for_memory_does_not_block_others():
     scheduler = build_scheduler(endpoints=2)
     scheduler.update_endpoint(build_view('e1', free_tokens=0), 0)
     scheduler.submit(build_request('a', pinned_to='e1'), 0)
     scheduler.submit(build_request('b', arrival=0.1), 0.1)
-    assert 'b' in sent_names(scheduler, 0.1) + sent_names(scheduler, 0.2)
+    assert 'b' in dispatch_ids(scheduler, 0.1) + dispatch_ids(scheduler, 0.2)
     scheduler.update_endpoint(build_view('e1'), 0.3)
-    assert sent_names(scheduler, 0.5) == ['a']
+    assert dispatch_ids(scheduler, 0.5) == ['a']
 
 
-def test_endpoint_that_came_back_owes_nothing_for_the_one_before():
-    """An endpoint is silent while a request runs there, and comes back.
+def test_readded_endpoint_is_not_charged_for_earlier_requests():
+    """An endpoint is removed while a request runs there, and is added again.
 
-    When the request is over, the counts of the new one must not fall below
-    zero, or more would be sent there than fits.
+    When the request ends, the counts of the new candidate must not become
+    negative. Otherwise more requests would be sent there than fit.
     """
     scheduler = build_scheduler()
     scheduler.submit(build_request('a', prompt_tokens=500), 0)
-    sent = single(scheduler.dispatch(0))
+    sent = only_decision(scheduler.dispatch(0))
     scheduler.remove_endpoint(sent.endpoint, 0)
     scheduler.update_endpoint(build_view(sent.endpoint), 0)
     scheduler.finished('a', Outcome.COMPLETE, 1)
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_machine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_machine.py
@@ -19,7 +19,7 @@
 
 
 class FairSchedulerMachine(RuleBasedStateMachine):
-    """Any order of events; each request ends once and nothing is left over."""
+    """Each request ends once and leaves no counts, for any event order."""
 
     def __init__(self):
         super().__init__()
@@ -32,13 +32,13 @@
         self.ended = {}
         self.requests = {}
 
-    def end(self, name, how):
+    def end(self, name, reason):
         assert name not in self.ended
-        self.ended[name] = how
+        self.ended[name] = reason
         self.waiting.pop(name, None)
         self.sent.pop(name, None)
 
-    def take(self, decision):
+    def apply_decision(self, decision):
         name = decision.request_id
         if isinstance(decision, Refusal):
             assert decision.retry_after >= 0
@@ -50,7 +50,7 @@
         self.sent[name] = decision
         self.waiting.pop(name)
 
-    def some_sent(self):
+    def pick_sent(self):
         if not self.sent:
             return None
         return self.random.choice(sorted(self.sent))
@@ -86,11 +86,11 @@
     def dispatch(self, seconds):
         self.now += seconds
         for decision in self.scheduler.dispatch(self.now):
-            self.take(decision)
+            self.apply_decision(decision)
 
     @rule()
     def answer(self):
-        name = self.some_sent()
+        name = self.pick_sent()
         if name is not None:
             endpoint = self.sent[name].endpoint
             self.scheduler.accepted(name, endpoint, self.now)
@@ -100,20 +100,20 @@
 
     @rule()
     def decline(self):
-        name = self.some_sent()
+        name = self.pick_sent()
         if name is not None:
             reason = RefusalReason.MEMORY_FULL
             decline = Refusal(name, reason, 1)
-            self.go_on(name, self.scheduler.declined(decline, self.now))
+            self.apply_retry(name, self.scheduler.declined(decline, self.now))
 
     @rule()
     def lose(self):
-        name = self.some_sent()
+        name = self.pick_sent()
         if name is not None:
             reason = RetryReason.ENDPOINT_SILENT
-            self.go_on(name, self.scheduler.lost(name, reason, self.now))
+            self.apply_retry(name, self.scheduler.lost(name, reason, self.now))
 
-    def go_on(self, name, answer):
+    def apply_retry(self, name, answer):
         if isinstance(answer, Refusal):
             self.end(name, answer.reason)
         else:
@@ -147,7 +147,7 @@
         self.scheduler.remove_endpoint(f'e{place}', self.now)
 
     @invariant()
-    def nothing_is_lost_or_doubled(self):
+    def requests_are_neither_lost_nor_duplicated(self):
         snapshot = self.scheduler.snapshot(self.now)
         assert snapshot.waiting == len(self.waiting)
         assert snapshot.running == len(self.sent)
@@ -163,12 +163,12 @@
             assert min(entry.candidate.pending) >= 0
 
     def teardown(self):
-        """After the last time limit nothing waits, and all memory is back."""
+        """After the last time limit, nothing waits and no memory is charged."""
         for name in tuple(self.sent):
             self.scheduler.finished(name, Outcome.TIMEOUT, self.now)
             self.end(name, Outcome.TIMEOUT)
         for decision in self.scheduler.dispatch(self.now + LONGEST_LIMIT):
-            self.take(decision)
+            self.apply_decision(decision)
         assert not self.waiting
         for name in tuple(self.sent):
             self.scheduler.finished(name, Outcome.TIMEOUT, self.now)
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_share.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_share.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from ..fair_share import FairQueue
-from ..flow import Waiting
+from ..flow import WaitingRequest
 from ..lending import LendingRule
 from .builders import build_request
 
@@ -14,7 +14,9 @@
     overrides = {'cost': 1, 'weight': 1, 'penalty': 1} | fields
     cost = overrides.pop('cost')
     request = build_request(f'r{number}', workspace=workspace, **overrides)
-    return Waiting(request=request, due=number, promised=number, cost=cost)
+    return WaitingRequest(
+        request=request, due=number, promised_at=number, cost=cost
+    )
 
 
 def build_queue(floor_share=0.5):
@@ -25,8 +27,8 @@
     served = Counter()
     for _ in range(count):
         head = queue.peek()
-        waiting = queue.borrowed(now) or head
-        queue.take(waiting)
+        waiting = queue.peek_borrower(now) or head
+        queue.serve(waiting)
         served[waiting.request.workspace] += waiting.cost
     return served
 
@@ -40,10 +42,10 @@
     assert served['a'] == pytest.approx(75, abs=2)
 
 
-def test_idle_workspace_is_next_when_it_comes():
-    """One school has queued hundreds of questions when a guest of another asks.
+def test_idle_workspace_is_served_next():
+    """One workspace has queued 300 requests when another sends its first.
 
-    Without shares, the guest waits behind them all.
+    Without shares, the request of the second waits behind all of them.
     """
     queue = build_queue()
     for number in range(300):
@@ -53,7 +55,7 @@
     assert serve(queue, 2)['guest'] == 1
 
 
-def test_what_was_not_used_is_not_owed():
+def test_unused_share_is_not_compensated_later():
     queue = build_queue()
     for number in range(100):
         queue.push(build_waiting(number, 'busy'))
@@ -63,10 +65,10 @@
     assert serve(queue, 40)['late'] == pytest.approx(20, abs=1)
 
 
-def test_turns_are_lent_to_what_owes_more_and_the_floor_is_kept():
-    """All schools send too much, and one is owed ten times the penalties.
+def test_turns_are_lent_to_higher_penalties_above_the_floor():
+    """Both workspaces are overloaded, and one has ten times the penalties.
 
-    Without loans, as much is refused of it as of the others.
+    Without lending, as many requests of it are refused as of the other.
     """
     queue = build_queue(floor_share=0.5)
     for number in range(300):
@@ -101,7 +103,7 @@
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(workloads, st.sampled_from([0.25, 0.5, 1]))
 def test_no_backlogged_workspace_falls_below_its_floor(entries, floor):
-    """Whatever costs and penalties come, each keeps the floor of its share."""
+    """Each workspace gets the floor of its share, for any costs."""
     queue = build_queue(floor)
     for number, (workspace, cost, penalty) in enumerate(entries):
         queue.push(
@@ -117,5 +119,5 @@
         total = sum(served.values())
         for name in backlogged:
             floor_cost = total / len(backlogged) * floor
-            # Turns are whole requests, so a flow may be behind by one of each.
+            # Turns are whole requests, so a flow may lag by one of each flow.
             assert served[name] >= floor_cost - largest * len(backlogged)
--- a/packages/sycamore-core/src/sycamore_core/decisions/usage.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/usage.py
@@ -1,4 +1,4 @@
-"""What each workspace has been served lately, for the operators."""
+"""Recent usage of each workspace, for operators."""
 
 from collections.abc import Mapping
 
@@ -8,12 +8,22 @@
 from ..settings import WorkspaceSettings
 from .scheduler import WorkspaceSnapshot
 
-#: Time after which a served token counts half, in seconds.
+#: Half-life of a served token in the usage, in seconds.
 HALF_LIFE_SECONDS = 60.0
 
 
 class Usage(msgspec.Struct):
-    """Counts of one workspace."""
+    """Counts of one workspace.
+
+    Attributes
+    ----------
+    waiting, running
+        Numbers of waiting and of running requests.
+    tokens
+        Served tokens at `updated_at`, decayed with `HALF_LIFE_SECONDS`.
+    updated_at
+        Time of the last update, in seconds.
+    """
 
     waiting: int = 0
     running: int = 0
@@ -21,24 +31,24 @@
     updated_at: float = 0
 
     def add(self, tokens: float, now: float) -> None:
-        """Count tokens that were served."""
+        """Add served tokens."""
         self.tokens = self.tokens_at(now) + tokens
         self.updated_at = now
 
     def tokens_at(self, now: float) -> float:
-        """Return the tokens served lately."""
+        """Return the decayed number of served tokens."""
         age = now - self.updated_at
         return self.tokens * 0.5 ** (age / HALF_LIFE_SECONDS)
 
 
-class UsageBook:
+class UsageTracker:
     """Counts of all workspaces."""
 
     def __init__(self) -> None:
         self.usages: dict[WorkspaceId, Usage] = {}
 
-    def of(self, workspace: WorkspaceId) -> Usage:
-        """Return the counts of a workspace; changed in place."""
+    def usage_of(self, workspace: WorkspaceId) -> Usage:
+        """Return the mutable counts of a workspace."""
         usage = self.usages.get(workspace)
         if usage is None:
             usage = Usage()
@@ -50,8 +60,10 @@
         workspaces: Mapping[WorkspaceId, WorkspaceSettings],
         now: float,
     ) -> tuple[WorkspaceSnapshot, ...]:
-        """Return the share of each workspace beside its entitlement."""
-        total_weight = sum(one.weight for one in workspaces.values()) or 1
+        """Return the share and the entitlement of each workspace."""
+        total_weight = (
+            sum(settings.weight for settings in workspaces.values()) or 1
+        )
         tokens = {
             name: usage.tokens_at(now) for name, usage in self.usages.items()
         }
@@ -59,8 +71,8 @@
         return tuple(
             WorkspaceSnapshot(
                 workspace=name,
-                waiting=self.of(name).waiting,
-                running=self.of(name).running,
+                waiting=self.usage_of(name).waiting,
+                running=self.usage_of(name).running,
                 served_tokens=tokens.get(name, 0),
                 share=tokens.get(name, 0) / total,
                 entitled=settings.weight / total_weight,
--- a/packages/sycamore-core/src/sycamore_core/decisions/views.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/views.py
@@ -1,32 +1,32 @@
-"""What an entry believes of an endpoint: a hint that may be old."""
+"""State of an endpoint as known to an entry; it may be out of date."""
 
 import msgspec
 
 from ..ids import EndpointId, Incarnation, ServiceId, ZoneId
 from ..states import EndpointKind, EndpointPhase
 
-#: Prefill rate until an endpoint has shown one, in tokens a second.
+#: Prefill rate before an endpoint has reported one, in tokens per second.
 ASSUMED_RATE = 10_000.0
-#: Prompt tokens that wait at an engine from which on its steps are full of
-#: them, and its prefill rate tells how fast it is: one chunk.
+#: Number of waiting prompt tokens from which the steps of an engine are full
+#: and its prefill rate shows its speed: one chunk.
 FULL_STEP_TOKENS = 4096
 
 
 class EndpointView(msgspec.Struct, kw_only=True):
-    """The last report of an endpoint and what was sent to it since.
+    """The last report of an endpoint.
 
     Attributes
     ----------
     reported_at
-        Monotonic time at which the last report came, in seconds.
+        Monotonic time at which the last report arrived, in seconds.
     free_tokens, capacity_tokens, running, waiting, backlog_tokens, long_tokens
         As in the report, see `sycamore_core.messages.LoadReport`.
     service_rate
-        Prefill rate, in tokens a second; 0 if not known.
+        Prefill rate, in tokens per second; 0 if not known.
     step_seconds
         Time between two tokens of a stream, in seconds; 0 if not known.
     cached_blocks
-        Blocks that the endpoint said it caches.
+        Blocks that the endpoint has reported as cached.
     """
 
     endpoint: EndpointId
@@ -48,13 +48,13 @@
 
     @property
     def telling_rate(self) -> float:
-        """Prefill rate if it tells how fast the engine is, else 0.
+        """Prefill rate if it shows the speed of the engine, else 0.
 
-        What goes wrong otherwise: a step with the few tokens of a chat turn
-        takes its base time all the same, so ten tokens in 10 ms are reported
-        as 1,000 a second where 400,000 are possible. A prompt of 45,000
-        tokens was then refused as needing 225 s, and the endpoint was taken
-        for full with 200 tokens on their way.
+        A step with the few tokens of a short request still takes its base
+        time: ten tokens in 10 ms are reported as 1,000 tokens per second where
+        400,000 are possible. Without this check, a prompt of 45,000 tokens is
+        refused as needing 225 s, and the endpoint counts as full with 200
+        tokens in flight.
         """
         is_full = self.backlog_tokens >= FULL_STEP_TOKENS
         if is_full or self.service_rate >= ASSUMED_RATE:
