--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/__init__.py
@@ -1,9 +1,9 @@
 """Decisions of an entry that calls endpoints itself.
 
-Load pattern: short turns that must not wait, beside prompts of up to a million
-tokens, on engines that read prompts between the tokens of other requests. The
-modules know the engines' cost figures, what this entry has at each engine and
-what its peers say that they have there.
+Load pattern: short requests with tight objectives arrive together with prompts
+of up to a million tokens. The engines read prompts between the generated
+tokens of other requests. The modules use the cost figures of the engines, the
+work of this entry at each engine and the work that its peers report.
 """
 
 from .asked_rests import AskedRests
@@ -14,7 +14,7 @@
 from .engine_work import Assignment, EngineWork
 from .failures import FailureBook
 from .isolation import is_isolated
-from .load_book import (
+from .load_registry import (
     STALE_SECONDS,
     WHOLE_SECONDS,
     LoadBook,
@@ -22,7 +22,7 @@
 from .overdue import is_overdue
 from .plain_choice import choose_plain
 from .plan import ReadPlan, ReadRequest
-from .pressure import Pressure, TurnMeter
+from .pressure import PredictedDemand, ShortRequestMeter
 from .quarantine import Quarantine
 from .rate_limits import RateLimits
 from .read_plan import is_turn, plan_read
@@ -58,7 +58,7 @@
     'KnownEngine',
     'LoadBook',
     'NextStep',
-    'Pressure',
+    'PredictedDemand',
     'Quarantine',
     'RateLimits',
     'ReadPlan',
@@ -66,7 +66,7 @@
     'RetryAllowance',
     'Assignment',
     'SuspectPlaces',
-    'TurnMeter',
+    'ShortRequestMeter',
     'UpdatePace',
     'after_full',
     'after_hold',
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/assignments.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/assignments.py
@@ -1,4 +1,4 @@
-"""What each engine of a plan is noted to have."""
+"""The work that a plan assigns to each of its engines."""
 
 from ...ids import EndpointId
 from .engine_work import Assignment
@@ -15,9 +15,9 @@
     Parameters
     ----------
     promised_at
-        By when the first event was promised, on the monotonic clock.
+        Time at which the first event is due, on the monotonic clock.
     """
-    stored = dict(plan.stored)
+    helper_tokens = dict(plan.stored)
     tokens = request.prompt_tokens + request.answer_tokens
     assignments = {
         helper: Assignment(
@@ -25,7 +25,7 @@
             weight=request.weight,
             promised_at=promised_at,
             is_ahead=True,
-            memory_tokens=stored.get(helper, 0),
+            memory_tokens=helper_tokens.get(helper, 0),
             is_home=False,
         )
         for helper in plan.helpers
@@ -36,7 +36,7 @@
         promised_at=promised_at,
         is_ahead=bool(plan.helpers),
         context_tokens=request.prompt_tokens,
-        memory_tokens=max(0, tokens - sum(stored.values())),
+        memory_tokens=max(0, tokens - sum(helper_tokens.values())),
         pause_ms=request.pause_ms,
     )
     return assignments
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/cells.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/cells.py
@@ -1,17 +1,18 @@
-"""Which engines of a large fleet are weighed for a request.
+"""Which engines of a large fleet are considered for a request.
 
-Load pattern: 68 entries in five availability zones before 170 engines, with
-60 short turns a second in each zone and a prompt of some hundred thousand
-tokens every second. Each entry learns of another's requests some 20 ms after
-they were sent, and later from farther away.
+Load pattern: 68 entries in five availability zones serve 170 engines. Each
+zone receives 60 short requests per second, and a prompt of several hundred
+thousand tokens arrives every second. An entry receives the report of another
+entry's request about 20 ms after it was sent, and later from farther away.
 
-Without it: all entries choose among all engines. Each has to tell all others
-of every request, which grows with the square of the entries, and a decision
-weighs engines by the dozen that differ in nothing.
+Without cells, all entries choose among all engines. Each entry has to report
+every request to all others, so the traffic grows with the square of the number
+of entries, and a decision compares dozens of engines that are equivalent.
 
-A cell is an availability zone: its entries tell one another at once, and place
-on its engines first. Of other cells an entry knows what they had a second ago;
-it turns to their engines where its own cell breaks a promise.
+A cell is an availability zone. The entries of a cell report to one another at
+once and place on the engines of their cell first. The reports that an entry
+has of other cells are about a second old. The entry uses engines of other
+cells only where a plan in its own cell would miss an objective.
 """
 
 from collections.abc import Sequence
@@ -21,22 +22,23 @@
 from ...ids import EndpointId, ZoneId
 from ...routing import EngineCosts
 from .engine_harm import Candidate
-from .load_book import LoadBook
+from .load_registry import LoadBook
 from .plan import ReadPlan, ReadRequest
 from .read_plan import is_turn, plan_read
 
-#: Cost from which on the other cells are looked at, in parts of what the
-#: request's own promise is worth: for a short turn, below it nobody's promise
-#: is broken.
-_TURN_SPILL = 0.15
-#: The same for a long prompt: unless its own promise is as good as broken. Its
-#: parts go ahead of what engines read, so that what is not yet known of them
-#: breaks promises there: spilled as early as turns are, long prompts make more
+#: Plan cost from which other cells are considered for a short request, as a
+#: fraction of the request's own weight. Below it, no objective is missed.
+_SHORT_SPILL_FRACTION = 0.15
+#: The same for a long prompt: other cells are considered only if its own
+#: objective is almost certainly missed. Its parts go ahead of the prompts that
+#: engines read, so the load that is not reported yet misses objectives there.
+#: If long prompts spilled as early as short requests, they would make more
 #: answers late in the other cell than they save in their own.
-_LONG_SPILL = 0.6
-#: Added to the cost of each engine of another cell, in broken promises: what
-#: is known of it is a second old, and turns by the dozen have come meanwhile.
-_FAR_COST = 0.05
+_LONG_SPILL_FRACTION = 0.6
+#: Added to the cost of each engine of another cell, in missed objectives. Its
+#: load was reported a second ago, and dozens of short requests have arrived
+#: since.
+_REMOTE_CELL_COST = 0.05
 
 
 class CellView(msgspec.Struct, frozen=True, kw_only=True):
@@ -45,9 +47,10 @@
     Attributes
     ----------
     zone
-        The entry's own.
+        Zone of the entry.
     zones
-        Zones that are cells; none in a fleet so small that it is one cell.
+        Zones that are cells; empty for a fleet that is small enough to be one
+        cell.
     """
 
     zone: ZoneId
@@ -56,7 +59,7 @@
     def owns(self, zone: ZoneId) -> bool:
         """Return whether engines of a zone belong to the entry's own cell.
 
-        Engines of a zone without entries belong to all.
+        The engines of a zone without entries belong to every cell.
 
         Examples
         --------
@@ -68,7 +71,7 @@
 
 
 class KnownEngine(msgspec.Struct, frozen=True, kw_only=True):
-    """An engine that may take part, apart from its load.
+    """An engine that can be chosen, without its load.
 
     Attributes
     ----------
@@ -86,32 +89,34 @@
     request: ReadRequest,
     engines: Sequence[KnownEngine],
     view: CellView,
-    book: LoadBook,
+    registry: LoadBook,
     costs: EngineCosts,
     now: float,
 ) -> ReadPlan | None:
-    """Return the plan with the least harm; None if no engine has a slot.
+    """Return the plan with the lowest cost; None if no engine has a slot.
 
     Parameters
     ----------
     now
         Monotonic time, in seconds.
     """
-    near = [
-        _candidate(one, book, now) for one in engines if view.owns(one.zone)
+    local = [
+        _candidate(engine, registry, now)
+        for engine in engines
+        if view.owns(engine.zone)
     ]
-    plan = plan_read(request, near, costs, book.pressure(now))
-    spill = request.weight * _spill_part(request, costs)
-    is_good = plan is not None and plan.cost < spill
-    if is_good or len(near) == len(engines):
+    plan = plan_read(request, local, costs, registry.pressure(now))
+    spill_cost = request.weight * _spill_fraction(request, costs)
+    is_good = plan is not None and plan.cost < spill_cost
+    if is_good or len(local) == len(engines):
         return plan
-    far = [
-        _candidate(one, book, now, _FAR_COST)
-        for one in engines
-        if not view.owns(one.zone)
+    remote = [
+        _candidate(engine, registry, now, _REMOTE_CELL_COST)
+        for engine in engines
+        if not view.owns(engine.zone)
     ]
-    pressure = book.pressure(now, everywhere=True)
-    wider = plan_read(request, [*near, *far], costs, pressure)
+    demand = registry.pressure(now, everywhere=True)
+    wider = plan_read(request, [*local, *remote], costs, demand)
     if plan is None or wider is None:
         return plan or wider
     return wider if wider.cost < plan.cost else plan
@@ -119,19 +124,19 @@
 
 def _candidate(
     engine: KnownEngine,
-    book: LoadBook,
+    registry: LoadBook,
     now: float,
     distance_cost: float = 0,
 ) -> Candidate:
     return Candidate(
         engine.endpoint,
-        book.load(engine.endpoint, now),
+        registry.load(engine.endpoint, now),
         engine.penalty + distance_cost,
         engine.tie,
     )
 
 
-def _spill_part(request: ReadRequest, costs: EngineCosts) -> float:
+def _spill_fraction(request: ReadRequest, costs: EngineCosts) -> float:
     if is_turn(costs, request.prompt_tokens):
-        return _TURN_SPILL
-    return _LONG_SPILL
+        return _SHORT_SPILL_FRACTION
+    return _LONG_SPILL_FRACTION
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_harm.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_harm.py
@@ -1,114 +1,124 @@
-"""What reading a part of a prompt does to those who are at an engine."""
+"""Interference of a part of a prompt with the requests at an engine."""
 
 import msgspec
 
 from ...ids import EndpointId
 from ...routing import EngineCosts, EngineLoad
-from .pass_forecast import forecast
-
-#: Streams that are gathered on one engine before the next is taken into use.
-#: With five, a pass takes a tenth longer than with one; from eight on an
-#: engine's slots are full.
-GATHERED_WRITERS = 5
-#: Slots of an engine on which no streams are gathered: entries that place at
-#: the same moment do not see one another's requests, and a full engine rejects
-#: what comes.
+from .pass_forecast import forecast_passes
+
+#: Streams that are packed onto one engine before another engine is used. A
+#: pass takes a tenth longer with five streams than with one; with eight, all
+#: slots of the engine are occupied.
+PACKED_STREAMS = 5
+#: Slots of an engine that packing leaves free. Entries that place at the same
+#: moment have no reports of one another's requests, and a full engine rejects
+#: requests.
 _SPARE_SLOTS = 2
-#: A part that takes longer makes the turns that come meanwhile late, in ms.
+#: Reading time of a part, in milliseconds, above which the short requests that
+#: arrive meanwhile are late.
 LONG_PART_MS = 150.0
-#: Cost of each stream that an engine lacks to, or has beyond,
-#: `GATHERED_WRITERS`: little against a hundredth of a broken promise, so that
-#: it decides between engines that are otherwise alike.
-_GATHERING_COST = 0.006
-#: Part of a promised first event that may be used up without harm. What is
-#: left is for the entry, the network and errors of the forecast.
-SAFE_FIRST_EVENT = 0.85
-#: The same for a prompt that waits already: the next part will go ahead of it
-#: as well, and the one after it.
-_SAFE_WAITING = 0.5
-#: The same for the pauses of a stream. The next pass reads what comes
-#: meanwhile as well.
-_SAFE_PAUSE = 0.8
-#: Extra of the ones that are late by much against those that just miss.
-_LATE_SLOPE = 0.2
-#: Backlog that counts as one broken promise, in ms: whoever comes next to a
-#: busy engine waits, or has others wait. Much more of it would only order
-#: engines that are otherwise alike, and work would pile up on a few.
-_BUSY_MS = 3000.0
-#: Largest difference by which equal engines are told apart, in broken
-#: promises, so that two entries choose different ones at the same moment.
-_TIE_COST = 0.004
-#: The same among engines for a short turn alone: more than gathering is worth,
-#: so that each entry gathers on engines of its own order. With the difference
-#: above, entries that have not heard of one another yet gather on the same
-#: engines, which reject one in ten turns and start one in five late.
-_TURN_TIE_COST = 0.06
-#: Part of the memory that plans leave free, as answers vary in length.
-_MEMORY_RESERVE = 0.05
-#: Part of what an engine has to do for which the first pause of a new stream
-#: lasts, in the mean: it begins at any moment of it.
-_MEAN_PAUSE_PART = 0.5
+#: Cost of each stream below or above `PACKED_STREAMS`, in missed objectives.
+#: It is below a hundredth of a missed objective, so that it decides only
+#: between engines that are otherwise equivalent.
+_PACKING_COST = 0.006
+#: Fraction of the time to the first event that can be used up without cost.
+#: The rest covers the entry, the network and errors of the forecast.
+SAFE_FIRST_EVENT_FRACTION = 0.85
+#: The same for a prompt that is already waiting. The next part goes ahead of
+#: the prompt too, and so does the part after that.
+_SAFE_WAITING_FRACTION = 0.5
+#: The same for the pauses of a stream. The next pass also reads the prompts
+#: that arrive meanwhile.
+_SAFE_PAUSE_FRACTION = 0.8
+#: Additional cost of an objective that is missed by far, relative to one that
+#: is just missed.
+_EXCESS_LATENESS_SLOPE = 0.2
+#: Backlog that costs as much as one missed objective, in milliseconds. The
+#: next request at a busy engine waits or makes others wait. A much higher cost
+#: would only rank engines that are otherwise equivalent, and work would
+#: accumulate on a few of them.
+_BACKLOG_MS_PER_MISS = 3000.0
+#: Largest cost that separates equivalent engines, in missed objectives, so
+#: that two entries choose different engines at the same moment.
+_TIE_BREAK_COST = 0.004
+#: The same for a short request that one engine serves alone. It exceeds the
+#: packing cost, so that each entry packs its engines in its own order. With
+#: `_TIE_BREAK_COST`, entries that have not received one another's reports yet
+#: pack the same engines, which reject one in ten short requests and start one
+#: in five late.
+_SHORT_TIE_BREAK_COST = 0.06
+#: Fraction of the memory that plans leave free, as answers vary in length.
+_MEMORY_RESERVE_FRACTION = 0.05
+#: Mean fraction of an engine's pending work that the first pause of a new
+#: stream lasts. The stream can begin at any moment of that work.
+_MEAN_PAUSE_FRACTION = 0.5
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """An engine that may take part.
+    """An engine that can be chosen for a request.
 
     Attributes
     ----------
     penalty
-        Added to its cost, for an engine that failed lately or is far away.
-    tie
-        Between 0 and 1, fixed for an entry and an engine: has two entries
-        choose differently among engines that are alike.
+        Added to the engine's cost if it failed recently or is in another
+        cell, in missed objectives.
+    tie_break
+        Between 0 and 1 and constant for an entry and an engine. Two entries
+        thus choose differently among equivalent engines.
     """
 
     endpoint: EndpointId
     load: EngineLoad
     penalty: float = 0
-    tie: float = 0
+    tie_break: float = 0
 
 
-def lateness(part: float, safe_part: float) -> float:
-    """Return the expected loss when `part` of a promised time is used up.
+def lateness_cost(fraction: float, safe_fraction: float) -> float:
+    """Return the expected loss when a fraction of an objective is used up.
 
     Parameters
     ----------
-    safe_part
-        Part that may be used up without harm.
+    fraction
+        Fraction of the time that the objective allows.
+    safe_fraction
+        Fraction that can be used up without loss.
 
     Examples
     --------
-    >>> lateness(0.4, 0.5), lateness(0.75, 0.5)
+    >>> lateness_cost(0.4, 0.5), lateness_cost(0.75, 0.5)
     (0, 0.25)
     """
-    if part <= safe_part:
+    if fraction <= safe_fraction:
         return 0
-    if part >= 1:
-        return 1 + min(1, part - 1) * _LATE_SLOPE
-    over = (part - safe_part) / (1 - safe_part)
+    if fraction >= 1:
+        return 1 + min(1, fraction - 1) * _EXCESS_LATENESS_SLOPE
+    over = (fraction - safe_fraction) / (1 - safe_fraction)
     return over * over
 
 
-class EngineHarm:
-    """Harm that a prompt does at one engine, in broken promises.
+class EngineInterference:
+    """Cost of reading a prompt at one engine, in missed objectives.
 
     Parameters
     ----------
     prompt_tokens
-        Length of the prompt, which the engine's steps carry if it writes.
+        Length of the prompt. It is added to the context of the engine's steps
+        if the engine generates the answer.
 
     Attributes
     ----------
     pass_ms
-        Time of a pass in which the engine writes for the request as well.
+        Duration of a pass if the engine also generates for the request, in
+        milliseconds.
     free_tokens
-        Whole tokens of memory that a plan may use: with a fraction of one
-        left that fits nowhere, no plan would store a prompt beyond one
-        engine.
+        Memory that a plan can use, in whole tokens. With fractions, the last
+        fraction of a token would fit on no engine, and no plan would exist
+        for a prompt that exceeds the memory of one engine.
     free_slots
-        Slots that turns can use.
-    turn_tie
-        What tells it apart from engines that are alike, for a short turn.
+        Slots that short requests can use.
+    short_tie_break
+        Cost that separates the engine from equivalent ones for a short
+        request.
     """
 
     def __init__(
@@ -124,112 +134,133 @@
             load.writers + 1,
             load.context_tokens + prompt_tokens,
         )
-        self.forecast = forecast(load, costs)
-        room = int(costs.memory_tokens * (1 - _MEMORY_RESERVE))
-        self.free_tokens = room - load.memory_tokens
+        self.forecast = forecast_passes(load, costs)
+        usable_tokens = int(
+            costs.memory_tokens * (1 - _MEMORY_RESERVE_FRACTION)
+        )
+        self.free_tokens = usable_tokens - load.memory_tokens
         self.has_slot = load.requests < costs.slots
         self.free_slots = max(0, costs.slots - load.requests)
-        self.turn_tie = candidate.tie * _TURN_TIE_COST
-        self._gathered = max(
+        self.short_tie_break = candidate.tie_break * _SHORT_TIE_BREAK_COST
+        self._packed_streams = max(
             1,
-            min(GATHERED_WRITERS, costs.slots - _SPARE_SLOTS),
+            min(PACKED_STREAMS, costs.slots - _SPARE_SLOTS),
+        )
+        self._base_cost = (
+            candidate.penalty + candidate.tie_break * _TIE_BREAK_COST
         )
-        self._base = candidate.penalty + candidate.tie * _TIE_COST
-        self._base += self.forecast.busy_ms / _BUSY_MS
+        self._base_cost += self.forecast.busy_ms / _BACKLOG_MS_PER_MISS
 
     @property
-    def serves_turns(self) -> bool:
-        """Whether turns that come to it need not wait for long."""
+    def serves_short_requests(self) -> bool:
+        """Whether short requests start on the engine without a long wait."""
         return self.forecast.busy_ms <= LONG_PART_MS
 
     def done_ms(self, part_ms: float, *, is_ahead: bool) -> float:
-        """Return when a part would be read here, in milliseconds from now.
+        """Return the time until a part is read here, in milliseconds.
 
         Parameters
         ----------
+        part_ms
+            Time that reading the part takes, in milliseconds.
         is_ahead
-            Whether the part is one of a split prompt.
+            Whether the part belongs to a split prompt.
         """
-        known = self.forecast
-        if is_ahead and not known.writes:
-            return known.opens_ms + part_ms
-        return known.next_done_ms + part_ms
-
-    def of_part(self, part_ms: float) -> float:
-        """Return the harm of a part that goes ahead of what it has."""
-        return self.of_pauses(part_ms) + sum(self.delays(part_ms).values())
-
-    def of_last(self, read_ms: float) -> float:
-        """Return the harm of a prompt that is read after what it has.
-
-        What goes wrong otherwise: a turn has just been sent to an engine that
-        writes nothing. It counts for nothing until its first event is heard
-        of; a prompt that is put behind it is read in the first pass of its
-        answer, which pauses for as long.
+        forecast = self.forecast
+        if is_ahead and not forecast.is_generating:
+            return forecast.next_intake_ms + part_ms
+        return forecast.queue_done_ms + part_ms
+
+    def cost_ahead(self, part_ms: float) -> float:
+        """Return the cost of a part that is read before the queued prompts."""
+        return self.pause_cost(part_ms) + sum(
+            self.delay_costs(part_ms).values()
+        )
+
+    def cost_behind(self, read_ms: float) -> float:
+        """Return the cost of a prompt that is read after the queued prompts.
+
+        The pause of a request that is queued on an engine without streams is
+        included. Without this, a short request that was just sent counts for
+        nothing until its first event arrives. A prompt that is placed behind
+        it is read in the first pass of its answer, and the answer pauses for
+        the whole reading time.
         """
-        known = self.forecast
-        if known.writes:
-            return self.of_part(read_ms)
+        forecast = self.forecast
+        if forecast.is_generating:
+            return self.cost_ahead(read_ms)
         answered = [
-            (one, known.queued_ms - done_ms)
-            for one, done_ms in zip(known.waiting, known.done_ms, strict=True)
-            if one.pause_ms
+            (prompt, forecast.queued_ms - done_ms)
+            for prompt, done_ms in zip(
+                forecast.waiting, forecast.done_ms, strict=True
+            )
+            if prompt.pause_ms
         ]
-        return self.of_pauses(read_ms) + sum(
-            one.weight
-            * _added_lateness(
-                one.pause_ms, behind_ms, behind_ms + read_ms, _SAFE_PAUSE
+        return self.pause_cost(read_ms) + sum(
+            prompt.weight
+            * _added_lateness_cost(
+                prompt.pause_ms,
+                behind_ms,
+                behind_ms + read_ms,
+                _SAFE_PAUSE_FRACTION,
             )
-            for one, behind_ms in answered
+            for prompt, behind_ms in answered
         )
 
-    def delays(self, part_ms: float) -> dict[str, float]:
-        """Return the harm to each prompt that is read later."""
-        known = self.forecast
+    def delay_costs(self, part_ms: float) -> dict[str, float]:
+        """Return the cost for each queued prompt that is delayed, by key."""
+        forecast = self.forecast
         return {
-            one.key: one.weight
-            * _added_lateness(
-                max(1, one.slack_ms),
+            prompt.key: prompt.weight
+            * _added_lateness_cost(
+                max(1, prompt.slack_ms),
                 done_ms,
                 done_ms + part_ms,
-                _SAFE_WAITING,
+                _SAFE_WAITING_FRACTION,
+            )
+            for prompt, done_ms in zip(
+                forecast.waiting, forecast.done_ms, strict=True
             )
-            for one, done_ms in zip(known.waiting, known.done_ms, strict=True)
         }
 
-    def of_pauses(self, part_ms: float) -> float:
-        """Return the harm to streams that pause while a part is read."""
-        known = self.forecast
-        before = known.pass_ms + known.queued_ms
+    def pause_cost(self, part_ms: float) -> float:
+        """Return the cost for streams that pause while a part is read."""
+        forecast = self.forecast
+        before = forecast.pass_ms + forecast.queued_ms
         after = before + part_ms
-        return self._base + sum(
-            one.weight
-            * _added_lateness(one.pause_ms, before, after, _SAFE_PAUSE)
-            for one in (*self.load.promises, *known.starting)
+        return self._base_cost + sum(
+            stream.weight
+            * _added_lateness_cost(
+                stream.pause_ms, before, after, _SAFE_PAUSE_FRACTION
+            )
+            for stream in (*self.load.promises, *forecast.starting)
         )
 
-    def as_home(self, pause_ms: float) -> float:
-        """Return the harm to the request itself if the engine writes it.
+    def primary_cost(self, pause_ms: float) -> float:
+        """Return the cost for the request if the engine generates its answer.
 
         Parameters
         ----------
         pause_ms
-            Longest pause that its caller was promised; 0 for none.
+            Longest pause that the request's objective allows, in
+            milliseconds; 0 if it has no such objective.
         """
-        missing = self._gathered - self.load.requests
-        cost = abs(missing) * _GATHERING_COST
+        missing = self._packed_streams - self.load.requests
+        cost = abs(missing) * _PACKING_COST
         if pause_ms:
-            pause = (self.pass_ms + self.forecast.busy_ms) * _MEAN_PAUSE_PART
-            cost += lateness(pause / pause_ms, _SAFE_PAUSE)
+            pause = (
+                self.pass_ms + self.forecast.busy_ms
+            ) * _MEAN_PAUSE_FRACTION
+            cost += lateness_cost(pause / pause_ms, _SAFE_PAUSE_FRACTION)
         return cost
 
 
-def _added_lateness(
-    promised_ms: float,
+def _added_lateness_cost(
+    objective_ms: float,
     before_ms: float,
     after_ms: float,
-    safe_part: float,
+    safe_fraction: float,
 ) -> float:
-    """Return the loss when something takes longer against its promise."""
-    before = lateness(before_ms / promised_ms, safe_part)
-    return lateness(after_ms / promised_ms, safe_part) - before
+    """Return the added loss when a duration grows against its objective."""
+    before = lateness_cost(before_ms / objective_ms, safe_fraction)
+    return lateness_cost(after_ms / objective_ms, safe_fraction) - before
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_work.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_work.py
@@ -1,4 +1,4 @@
-"""What one entry has in progress at one engine."""
+"""The work that one entry has in progress at one engine."""
 
 import msgspec
 
@@ -6,43 +6,44 @@
 from ...routing import EngineLoad, PausePromise, Unread
 
 _MS = 1000.0
-#: Characters of a request's id by which peers tell its parts apart.
+#: Characters of a request id that identify the request's parts among peers.
 _KEY_LENGTH = 8
 
 
-def key_of(request_id: RequestId) -> str:
-    """Return the name by which peers know a request's parts."""
+def request_key(request_id: RequestId) -> str:
+    """Return the key that identifies a request's parts among peers."""
     return request_id[:_KEY_LENGTH]
 
 
 class Assignment(msgspec.Struct, kw_only=True):
-    """Part of one request at one engine.
+    """The part of one request that one engine processes.
 
     Attributes
     ----------
     read_ms
-        Time that the engine needs to read its part of the prompt.
+        Time that the engine needs to read its part of the prompt, in
+        milliseconds.
     weight
-        How many short turns its promise counts for.
+        Number of short requests that the request's objective counts for.
     promised_at
-        By when its first event was promised, on the monotonic clock.
+        Time at which the first event is due, on the monotonic clock.
     context_tokens
-        Tokens that each of its steps carries while it generates; 0 at an
-        engine that only helps to read.
+        Context length of the request's steps while the engine generates; 0 at
+        an engine that only helps to read.
     memory_tokens
-        Tokens that it takes of the engine's memory.
+        Memory of the engine that the part occupies, in tokens.
     pause_ms
-        Longest pause between two events that its caller was promised; 0 if
-        nothing was.
+        Longest pause between two events that the objective allows, in
+        milliseconds; 0 if there is no such objective.
     is_home
         Whether this engine generates the answer.
     is_ahead
         Whether it is a part of a split prompt. Engines read such parts ahead
-        of all others, also of earlier parts.
-    is_writing
-        Whether its first token has come.
+        of all others, including earlier parts.
+    is_generating
+        Whether the first token has arrived.
     sent_at
-        When it was sent, on the monotonic clock.
+        Time at which it was sent, on the monotonic clock.
     """
 
     read_ms: float
@@ -53,7 +54,7 @@
     pause_ms: float = 0
     is_home: bool = True
     is_ahead: bool = False
-    is_writing: bool = False
+    is_generating: bool = False
     sent_at: float = 0
 
 
@@ -74,35 +75,35 @@
     def add(
         self, request_id: RequestId, assignment: Assignment, now: float
     ) -> None:
-        """Note that a request was sent to the engine."""
+        """Record that a request was sent to the engine."""
         assignment.sent_at = now
         self.assignments[request_id] = assignment
 
-    def first_token(self, request_id: RequestId) -> None:
-        """Note that a request's prompt has been read."""
+    def record_first_token(self, request_id: RequestId) -> None:
+        """Record that the prompt of a request has been read."""
         assignment = self.assignments.get(request_id)
         if assignment is not None:
-            assignment.is_writing = True
+            assignment.is_generating = True
 
     def end(self, request_id: RequestId) -> None:
-        """Note that a request is over."""
+        """Remove a request that has ended."""
         self.assignments.pop(request_id, None)
 
     def load(self, now: float) -> EngineLoad:
-        """Return what these requests have the engine do."""
+        """Return the load that these requests put on the engine."""
         load = EngineLoad()
         unread: list[Unread] = []
-        promised: dict[float, float] = {}
+        weights: dict[float, float] = {}
         for request_id, assignment in self.assignments.items():
             load.memory_tokens += assignment.memory_tokens
             if assignment.is_home:
-                _count_home(load, assignment, promised)
-            if not assignment.is_writing:
+                _add_primary(load, assignment, weights)
+            if not assignment.is_generating:
                 unread.append(_unread(request_id, assignment, now))
         load.unread = tuple(unread)
         load.promises = tuple(
             PausePromise(pause_ms, weight)
-            for pause_ms, weight in promised.items()
+            for pause_ms, weight in weights.items()
         )
         return load
 
@@ -111,7 +112,7 @@
     request_id: RequestId, assignment: Assignment, now: float
 ) -> Unread:
     return Unread(
-        key_of(request_id),
+        request_key(request_id),
         assignment.weight,
         assignment.read_ms,
         (now - assignment.sent_at) * _MS,
@@ -121,16 +122,24 @@
     )
 
 
-def _count_home(
+def _add_primary(
     load: EngineLoad,
     assignment: Assignment,
-    promised: dict[float, float],
+    weights: dict[float, float],
 ) -> None:
+    """Add a request whose answer the engine generates.
+
+    Parameters
+    ----------
+    weights
+        Sum of the weights of generating requests, by their longest allowed
+        pause in milliseconds; updated in place.
+    """
     load.requests += 1
-    if not assignment.is_writing:
+    if not assignment.is_generating:
         return
     load.writers += 1
     load.context_tokens += assignment.context_tokens
     pause_ms = assignment.pause_ms
     if pause_ms:
-        promised[pause_ms] = promised.get(pause_ms, 0) + assignment.weight
+        weights[pause_ms] = weights.get(pause_ms, 0) + assignment.weight
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/isolation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/isolation.py
@@ -1,18 +1,19 @@
-"""Whether an entry should hand its callers over to others.
+"""Whether an entry is isolated and should hand its callers over to others.
 
-Load pattern: a network partition cuts one entry off from the platform and from
-all other entries, while callers and some endpoints still reach it.
+Load pattern: a network partition separates one entry from the platform and
+from all other entries, while callers and some endpoints still reach it.
 
-Without it: the entry goes on placing by its own work alone. It sends long
-prompts to engines that others have filled, and each of its callers waits
-several times as long as at the entry next door; new settings do not reach it
-either. What it must not do is leave when the platform alone is away: then all
-entries would leave at once, and nobody would be served.
+Without this, the entry keeps placing requests by its own work alone. It sends
+long prompts to engines that other entries have filled, and its callers wait
+several times as long as at any other entry. New settings do not reach the
+entry either. The entry must not leave when only the platform is unreachable:
+all entries would leave at once, and no caller would be served.
 """
 
-#: Time without an update of any other entry after which this one counts as cut
-#: off, in seconds: each repeats its update every second, and two may be lost.
-SILENT_SECONDS = 2.2
+#: Time without an update from any other entry after which the entry counts as
+#: isolated, in seconds. Each entry repeats its update every second, and two
+#: updates may be lost.
+SILENCE_TIMEOUT_SECONDS = 2.2
 
 
 def is_isolated(
@@ -21,13 +22,14 @@
     *,
     platform_away: bool,
 ) -> bool:
-    """Return whether an entry is cut off from all that others still reach.
+    """Return whether an entry is separated from the rest of the fleet.
 
     Parameters
     ----------
     peer_heard_at
-        When another entry was last heard, on the monotonic clock; None if
-        none ever was: an entry that is alone has nobody to hand over to.
+        Time of the last report from another entry, on the monotonic clock.
+        None if no report has arrived: an entry without peers cannot hand its
+        callers over.
     platform_away
         Whether the platform does not answer this entry.
 
@@ -42,4 +44,4 @@
     """
     if peer_heard_at is None or not platform_away:
         return False
-    return now - peer_heard_at > SILENT_SECONDS
+    return now - peer_heard_at > SILENCE_TIMEOUT_SECONDS
--- /dev/null
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/load_registry.py
@@ -0,0 +1,320 @@
+"""The load of each engine: this entry's own work and the reports of peers.
+
+Without the reports of peers, each entry places by its own requests alone. Two
+entries choose the same idle engine, and a short request waits behind another
+entry's long prompt while other engines are idle.
+"""
+
+from collections.abc import Iterable, Mapping
+from types import MappingProxyType
+
+import msgspec
+
+from ...ids import EndpointId, PeerId, RequestId, ZoneId
+from ...routing import EngineLoad, EngineShare
+from .engine_work import Assignment, EngineWork
+from .pressure import PredictedDemand, ShortRequestMeter
+
+#: Time between two full updates of an entry, in seconds.
+WHOLE_SECONDS = 1.0
+#: Age from which a peer's report is ignored, in seconds. A peer sends a full
+#: update every second. If three in a row are missing, the peer is gone or cut
+#: off, and its requests have ended or end soon.
+STALE_SECONDS = 3.2
+_NO_REPORTS: Mapping[PeerId, 'ReportedLoad'] = MappingProxyType({})
+
+
+class ReportedLoad(msgspec.Struct, frozen=True):
+    """A reported load of one engine.
+
+    Attributes
+    ----------
+    reported_at
+        Time at which the report arrived, on the monotonic clock.
+    """
+
+    load: EngineLoad
+    reported_at: float
+
+
+class PeerRecord(msgspec.Struct):
+    """The last report of a peer and the engines at which it has work.
+
+    Attributes
+    ----------
+    reported_at
+        Time at which the last report arrived, on the monotonic clock.
+    short_requests_per_s
+        Short requests that arrive at the peer per second.
+    """
+
+    reported_at: float
+    short_requests_per_s: float = 0
+    engines: set[EndpointId] = msgspec.field(default_factory=set)
+
+
+class CellRecord(msgspec.Struct, frozen=True):
+    """The last summary of another cell and its busy engines.
+
+    Attributes
+    ----------
+    reported_at
+        Time at which the summary arrived, on the monotonic clock.
+    short_requests_per_s
+        Short requests that arrive in the cell per second.
+    """
+
+    reported_at: float
+    short_requests_per_s: float = 0
+    engines: frozenset[EndpointId] = frozenset()
+
+
+class LoadBook:
+    """Loads of engines, by endpoint.
+
+    Reports of peers are stored by engine. The cost of a decision thus depends
+    on the work at the engines that it compares, not on the number of peers.
+
+    Attributes
+    ----------
+    turns
+        Arrivals and residence times of this entry's short requests.
+    changed
+        Endpoints at which own work has begun or ended since `take_changed`.
+    heard
+        Load that each peer reports for an engine.
+    totals
+        Load of all other entries at an engine, as the cell of the engine
+        reports it.
+    """
+
+    def __init__(self) -> None:
+        self.own: dict[EndpointId, EngineWork] = {}
+        self.peers: dict[PeerId, PeerRecord] = {}
+        self.heard: dict[EndpointId, dict[PeerId, ReportedLoad]] = {}
+        self.totals: dict[EndpointId, ReportedLoad] = {}
+        self.cells: dict[ZoneId, CellRecord] = {}
+        self.changed: set[EndpointId] = set()
+        self.turns = ShortRequestMeter()
+
+    def begin(
+        self,
+        request_id: RequestId,
+        assignments: dict[EndpointId, Assignment],
+        now: float,
+    ) -> None:
+        """Record the engines to which a request was sent."""
+        for endpoint, assignment in assignments.items():
+            work = self.own.setdefault(endpoint, EngineWork())
+            work.add(request_id, assignment, now)
+            self.changed.add(endpoint)
+
+    def first_token(
+        self,
+        request_id: RequestId,
+        endpoints: Iterable[EndpointId],
+    ) -> None:
+        """Record that the prompt of a request has been read."""
+        for endpoint in endpoints:
+            work = self.own.get(endpoint)
+            if work is not None:
+                work.record_first_token(request_id)
+                self.changed.add(endpoint)
+
+    def end(
+        self,
+        request_id: RequestId,
+        endpoints: Iterable[EndpointId],
+    ) -> None:
+        """Remove a request that has ended."""
+        for endpoint in endpoints:
+            work = self.own.get(endpoint)
+            if work is None:
+                continue
+            work.end(request_id)
+            self.changed.add(endpoint)
+            if not work.assignments:
+                self.own.pop(endpoint)
+
+    def load(self, endpoint: EndpointId, now: float) -> EngineLoad:
+        """Return the load of an engine."""
+        total = self.totals.get(endpoint)
+        if total is not None and now - total.reported_at < STALE_SECONDS:
+            load = self._own_load(endpoint, now)
+            load.add(total.load, now - total.reported_at)
+            return load
+        return self._load_in_cell(endpoint, now)
+
+    def news_age(self, endpoint: EndpointId, now: float) -> float | None:
+        """Return the age of the oldest report that `load` uses, in seconds.
+
+        None if there is no report of the engine.
+        """
+        total = self.totals.get(endpoint)
+        if total is not None and now - total.reported_at < STALE_SECONDS:
+            return now - total.reported_at
+        reports = self.heard.get(endpoint, _NO_REPORTS).values()
+        ages = [now - report.reported_at for report in reports]
+        return max(ages, default=None)
+
+    def hear(
+        self,
+        peer: PeerId,
+        shares: Iterable[EngineShare],
+        now: float,
+        *,
+        is_whole: bool,
+        turns_per_s: float = 0,
+    ) -> None:
+        """Apply a peer's report of its work.
+
+        Parameters
+        ----------
+        is_whole
+            Whether the update is full; otherwise it has only the engines at
+            which the work changed.
+        turns_per_s
+            Short requests that arrive at the peer per second.
+        """
+        if is_whole:
+            self.forget(peer)
+        record = self.peers.setdefault(peer, PeerRecord(now))
+        record.reported_at = now
+        record.short_requests_per_s = turns_per_s
+        for share in shares:
+            self._apply_share(peer, record, share, now)
+
+    def hear_cell(
+        self,
+        zone: ZoneId,
+        shares: Iterable[EngineShare],
+        now: float,
+        turns_per_s: float = 0,
+    ) -> None:
+        """Apply a report of the engines of another cell.
+
+        Parameters
+        ----------
+        shares
+            Load of all entries except this one; idle engines are left out.
+        turns_per_s
+            Short requests that arrive in that cell per second.
+        """
+        previous = self.cells.get(zone, CellRecord(now))
+        busy = {
+            share.endpoint: ReportedLoad(share.load, now) for share in shares
+        }
+        for endpoint in previous.engines:
+            self.totals.pop(endpoint, None)
+        self.totals.update(busy)
+        self.cells[zone] = CellRecord(now, turns_per_s, frozenset(busy))
+
+    def pressure(
+        self, now: float, *, everywhere: bool = False
+    ) -> PredictedDemand:
+        """Return the short requests that are expected to arrive.
+
+        Parameters
+        ----------
+        everywhere
+            Whether to include the short requests of other cells.
+        """
+        sources: list[PeerRecord | CellRecord] = list(self.peers.values())
+        if everywhere:
+            sources.extend(self.cells.values())
+        reported_rates = [
+            source.short_requests_per_s
+            for source in sources
+            if now - source.reported_at < STALE_SECONDS
+        ]
+        return PredictedDemand(
+            turns_per_s=self.turns.rate(now) + sum(reported_rates),
+            slot_seconds=self.turns.stay_seconds,
+        )
+
+    def forget(self, peer: PeerId) -> None:
+        """Remove the reports of a peer that has restarted or is gone."""
+        record = self.peers.pop(peer, None)
+        if record is None:
+            return
+        for endpoint in record.engines:
+            self._remove_load(peer, endpoint)
+
+    def shares(
+        self,
+        endpoints: Iterable[EndpointId],
+        now: float,
+    ) -> tuple[EngineShare, ...]:
+        """Return the work of this entry at some engines."""
+        return tuple(
+            EngineShare(endpoint, self._own_load(endpoint, now))
+            for endpoint in endpoints
+        )
+
+    def take_changed(self) -> set[EndpointId]:
+        """Return the endpoints at which own work changed and clear the set."""
+        changed = self.changed
+        self.changed = set()
+        return changed
+
+    def near_shares(
+        self,
+        endpoints: Iterable[EndpointId],
+        now: float,
+        receiver: PeerId,
+    ) -> tuple[EngineShare, ...]:
+        """Return the work of this entry and its peers at some engines.
+
+        The receiver's own work is left out. The receiver has newer figures
+        and would count twice the requests that it has just sent.
+
+        Idle engines are left out too. A silent peer still has a record at
+        them, but its reports no longer count.
+        """
+        loads = {
+            endpoint: self._load_in_cell(endpoint, now, receiver)
+            for endpoint in endpoints
+        }
+        return tuple(
+            EngineShare(endpoint, load.merged())
+            for endpoint, load in loads.items()
+            if not load.is_idle
+        )
+
+    def _load_in_cell(
+        self,
+        endpoint: EndpointId,
+        now: float,
+        excluded: PeerId | None = None,
+    ) -> EngineLoad:
+        load = self._own_load(endpoint, now)
+        for peer, report in self.heard.get(endpoint, _NO_REPORTS).items():
+            is_fresh = now - self.peers[peer].reported_at < STALE_SECONDS
+            if is_fresh and peer != excluded:
+                load.add(report.load, now - report.reported_at)
+        return load
+
+    def _own_load(self, endpoint: EndpointId, now: float) -> EngineLoad:
+        work = self.own.get(endpoint)
+        return EngineLoad() if work is None else work.load(now)
+
+    def _apply_share(
+        self,
+        peer: PeerId,
+        record: PeerRecord,
+        share: EngineShare,
+        now: float,
+    ) -> None:
+        if share.load.is_idle:
+            record.engines.discard(share.endpoint)
+            self._remove_load(peer, share.endpoint)
+            return
+        record.engines.add(share.endpoint)
+        reports = self.heard.setdefault(share.endpoint, {})
+        reports[peer] = ReportedLoad(share.load, now)
+
+    def _remove_load(self, peer: PeerId, endpoint: EndpointId) -> None:
+        reports = self.heard.get(endpoint, {})
+        reports.pop(peer, None)
+        if not reports:
+            self.heard.pop(endpoint, None)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/overdue.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/overdue.py
@@ -1,35 +1,36 @@
-"""Whether what is known explains that a prompt has not been read yet.
+"""Whether the known load explains that a prompt has not been read yet.
 
-Load pattern: a fifth of the engines take requests and never answer them, while
-they serve others and look well. Beside them, long prompts are delayed by parts
-of later ones, as their promises allow.
+Load pattern: a fifth of the engines accept requests and never answer them,
+while they serve other requests and look healthy. At the same time, long
+prompts are delayed by parts of later prompts, as far as their objectives
+allow.
 
-Without it: a report that was expected in a tenth of a second waits for nearly
-half of its caller's time before it is tried elsewhere, since most prompts that
-are late are only behind others, and would be no sooner anywhere else.
+Without this, a report that was expected within a tenth of a second waits for
+nearly half of its caller's time before another engine is tried. Most prompts
+that are late are only queued behind others and would be no sooner elsewhere.
 
-What it does: parts that came later are known within moments. Where they
-explain the wait, the prompt stays; where nothing does, it may still be read
-elsewhere within its promise.
+Parts that were sent later are reported within milliseconds. If they explain
+the delay, the prompt stays at its engines. Otherwise it can still be read
+elsewhere within its objective.
 """
 
 from collections.abc import Iterable
 
 from ...ids import EndpointId, RequestId
 from ...routing import EngineCosts
-from .engine_work import key_of
-from .load_book import LoadBook
-from .pass_forecast import PassForecast, planned_forecast
+from .engine_work import request_key
+from .load_registry import LoadBook
+from .pass_forecast import PassForecast, nominal_forecast
 
-#: Time that a part may be taken to need yet, in milliseconds, for its prompt
-#: to count as overdue: two passes of an engine that writes.
+#: Remaining time up to which a prompt counts as overdue, in milliseconds: two
+#: passes of an engine that generates.
 _OVERDUE_MS = 120.0
 
 
 def is_overdue(
     request_id: RequestId,
     members: Iterable[EndpointId],
-    book: LoadBook,
+    registry: LoadBook,
     costs: EngineCosts,
     now: float,
 ) -> bool:
@@ -38,21 +39,21 @@
     Parameters
     ----------
     members
-        The engines that read it.
+        The engines that read the prompt.
     now
         Monotonic time, in seconds.
     """
-    key = key_of(request_id)
-    left = [
-        _left_ms(planned_forecast(book.load(member, now), costs), key)
+    key = request_key(request_id)
+    remaining = [
+        _remaining_ms(nominal_forecast(registry.load(member, now), costs), key)
         for member in members
     ]
-    return max(left) <= _OVERDUE_MS
+    return max(remaining) <= _OVERDUE_MS
 
 
-def _left_ms(known: PassForecast, key: str) -> float:
-    """Return the time until a part is read, as far as is known."""
-    for one, done_ms in zip(known.waiting, known.done_ms, strict=True):
-        if one.key == key:
+def _remaining_ms(forecast: PassForecast, key: str) -> float:
+    """Return the expected time until a part is read, in milliseconds."""
+    for prompt, done_ms in zip(forecast.waiting, forecast.done_ms, strict=True):
+        if prompt.key == key:
             return done_ms
-    return known.opens_ms
+    return forecast.next_intake_ms
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/pass_forecast.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/pass_forecast.py
@@ -1,14 +1,15 @@
-"""When an engine takes in new work, and when it has read what it has.
-
-An engine works in passes and takes in what was sent to it between two of
-them. While it writes, a pass makes many steps and reads whatever was there
-when it began; whoever comes later waits for its end, and all first tokens and
-events of a pass come with its end. An engine that only reads begins a pass
-with each chunk: parts of split prompts go ahead there at once, the latest
-first.
-
-What goes wrong if each part is taken as read at once: it takes up to three
-times as long as expected, and all later decisions start from a wrong state.
+"""When an engine accepts new work, and when it has read its prompts.
+
+An engine works in passes and accepts new work between two passes. While the
+engine generates, a pass makes many steps and reads the prompts that were
+present when the pass began. A prompt that arrives later waits for the end of
+the pass, and all first tokens and events of a pass are emitted at its end. An
+engine that only reads begins a pass with each chunk: parts of split prompts go
+ahead of the queue at once, the latest first.
+
+If each part were assumed to be read at once, reading would take up to three
+times as long as expected, and all later decisions would start from a wrong
+state.
 """
 
 import math
@@ -18,168 +19,183 @@
 
 from ...routing import EngineCosts, EngineLoad, Unread
 
-#: Mean part of a pass that is still to run when a request comes.
-_HALF = 0.5
-#: Part of the time by which reading is overdue that it is taken to need yet.
-#: An engine that others load unseen takes longer than was estimated; without
-#: this it would look idle from that moment on and draw more work.
-_OVERDUE_PART = 0.5
+#: Mean fraction of a pass that remains when a request arrives.
+_MEAN_REMAINING_FRACTION = 0.5
+#: Estimate of the remaining time of overdue reading, as a fraction of the time
+#: by which it is overdue. An engine with unreported load takes longer than
+#: estimated. Without this, the engine would look idle once the estimate has
+#: passed and attract more work.
+_OVERDUE_FRACTION = 0.5
 
 
 class PassForecast(msgspec.Struct, kw_only=True):
-    """What an engine will do with what it has.
+    """Forecast of the passes of an engine under its known load.
 
     Attributes
     ----------
     pass_ms
-        Time of a pass in which nothing is read; 0 if it does not write.
-    opens_ms
-        Time until it next takes in work.
+        Duration of a pass that reads nothing, in milliseconds; 0 if the
+        engine does not generate.
+    next_intake_ms
+        Time until the engine next accepts work, in milliseconds.
     queued_ms
-        Reading that it has not begun: of the next pass while it writes, of
-        all prompts otherwise.
+        Reading that has not begun, in milliseconds: the reading of the next
+        pass while the engine generates, otherwise that of all prompts.
     done_ms
-        Time until each prompt is read, in the order of `waiting`.
+        Time until each prompt is read, in the order of `waiting`, in
+        milliseconds.
     waiting
         Prompts that new work delays.
     starting
-        Prompts whose own part here has been read and whose answers begin with
-        the next pass, or as soon as other engines have read theirs.
+        Prompts whose own part has been read here. Their answers begin with
+        the next pass, or once other engines have read their parts.
     """
 
     pass_ms: float = 0
-    opens_ms: float = 0
+    next_intake_ms: float = 0
     queued_ms: float = 0
     waiting: tuple[Unread, ...] = ()
     done_ms: tuple[float, ...] = ()
     starting: tuple[Unread, ...] = ()
 
     @property
-    def writes(self) -> bool:
-        """Whether it writes, so that it reads in long passes."""
+    def is_generating(self) -> bool:
+        """Whether the engine generates and therefore reads in long passes."""
         return self.pass_ms > 0
 
     @property
-    def next_done_ms(self) -> float:
-        """Return when a prompt that takes no time would be read behind all."""
-        return self.opens_ms + self.pass_ms + self.queued_ms
+    def queue_done_ms(self) -> float:
+        """Time until an empty prompt behind the queue would be read, in ms."""
+        return self.next_intake_ms + self.pass_ms + self.queued_ms
 
     @property
     def busy_ms(self) -> float:
-        """Return the time until all that was sent to it is read."""
-        return self.next_done_ms if self.waiting else self.opens_ms
+        """Time until all prompts of the engine are read, in milliseconds."""
+        return self.queue_done_ms if self.waiting else self.next_intake_ms
 
 
-def forecast(load: EngineLoad, costs: EngineCosts) -> PassForecast:
-    """Return what an engine with this load will do."""
-    found = planned_forecast(load, costs)
-    if not found.waiting:
-        found.opens_ms = max(found.opens_ms, _overdue_ms(load.unread))
-    return found
+def forecast_passes(load: EngineLoad, costs: EngineCosts) -> PassForecast:
+    """Return the forecast for an engine, with an allowance for overdue work."""
+    forecast = nominal_forecast(load, costs)
+    if not forecast.waiting:
+        forecast.next_intake_ms = max(
+            forecast.next_intake_ms, _overdue_ms(load.unread)
+        )
+    return forecast
 
 
-def planned_forecast(load: EngineLoad, costs: EngineCosts) -> PassForecast:
-    """Return what an engine does that takes no longer than its figures say."""
+def nominal_forecast(load: EngineLoad, costs: EngineCosts) -> PassForecast:
+    """Return the forecast for an engine that keeps to its cost figures."""
     if load.writers:
         pass_ms = costs.pass_ms(load.writers, load.context_tokens)
-        return _in_passes(load.unread, pass_ms)
-    return _in_chunks(load.unread)
+        return _forecast_generating(load.unread, pass_ms)
+    return _forecast_reading(load.unread)
 
 
-def _in_passes(unread: Sequence[Unread], pass_ms: float) -> PassForecast:
-    """Return the forecast of an engine that writes."""
-    # Passes are followed from the first prompt on, on a clock that is 0 now.
-    left = sorted(unread, key=_sent_ms)
+def _forecast_generating(
+    unread: Sequence[Unread], pass_ms: float
+) -> PassForecast:
+    """Return the forecast of an engine that generates."""
+    # Simulates the passes from the first prompt on. The current time is 0.
+    queue = sorted(unread, key=_sent_ms)
     begins = -math.inf
     ends = -math.inf
-    taken: list[Unread] = []
-    while left:
-        begins = max(ends, _sent_ms(left[0]) + pass_ms * _HALF)
+    admitted: list[Unread] = []
+    while queue:
+        begins = max(
+            ends, _sent_ms(queue[0]) + pass_ms * _MEAN_REMAINING_FRACTION
+        )
         if begins > 0:
             break
-        taken = [one for one in left if _sent_ms(one) <= begins]
-        left = left[len(taken) :]
-        ends = begins + pass_ms + _read_ms(taken)
+        admitted = [prompt for prompt in queue if _sent_ms(prompt) <= begins]
+        queue = queue[len(admitted) :]
+        ends = begins + pass_ms + _read_ms(admitted)
     if ends <= 0:
-        # What the last pass took was read; none of it is still to begin.
-        taken = []
-    found = PassForecast(
+        # The last pass has ended, so none of its answers is still to begin.
+        admitted = []
+    forecast = PassForecast(
         pass_ms=pass_ms,
-        opens_ms=begins if left else max(ends, pass_ms * _HALF),
-        queued_ms=_read_ms(left),
-        waiting=tuple(left),
-        starting=tuple(filter(_is_answered_here, taken)),
+        next_intake_ms=begins
+        if queue
+        else max(ends, pass_ms * _MEAN_REMAINING_FRACTION),
+        queued_ms=_read_ms(queue),
+        waiting=tuple(queue),
+        starting=tuple(filter(_is_answered_here, admitted)),
     )
-    found.done_ms = (found.next_done_ms,) * len(left)
-    return found
+    forecast.done_ms = (forecast.queue_done_ms,) * len(queue)
+    return forecast
 
 
-class _Reading(msgspec.Struct):
-    """A prompt at an engine that only reads, and what is left of it."""
+class _PendingRead(msgspec.Struct):
+    """A prompt at an engine that only reads, and its remaining reading time."""
 
     unread: Unread
-    left_ms: float
+    remaining_ms: float
 
 
-def _in_chunks(unread: Sequence[Unread]) -> PassForecast:
+def _forecast_reading(unread: Sequence[Unread]) -> PassForecast:
     """Return the forecast of an engine that only reads."""
     queued: float = 0
     done: list[float] = []
-    readings = _in_order(_left_by_now(unread))
-    for reading in readings:
-        queued += reading.left_ms
+    pending = _in_read_order(_pending_now(unread))
+    for reading in pending:
+        queued += reading.remaining_ms
         done.append(queued)
-    waiting = tuple(one.unread for one in readings)
-    left = {one.key for one in waiting}
+    waiting = tuple(read.unread for read in pending)
+    waiting_keys = {prompt.key for prompt in waiting}
     return PassForecast(
         queued_ms=queued,
         waiting=waiting,
         done_ms=tuple(done),
         starting=tuple(
-            one
-            for one in unread
-            if one.key not in left and _is_answered_here(one)
+            prompt
+            for prompt in unread
+            if prompt.key not in waiting_keys and _is_answered_here(prompt)
         ),
     )
 
 
-def _left_by_now(unread: Sequence[Unread]) -> list[_Reading]:
-    """Return what is left to read, in the order of sending."""
-    readings: list[_Reading] = []
+def _pending_now(unread: Sequence[Unread]) -> list[_PendingRead]:
+    """Return the reading that remains now, in the order of sending."""
+    pending: list[_PendingRead] = []
     at: float = 0
-    for one in sorted(unread, key=_sent_ms):
-        sent = _sent_ms(one)
-        readings = _after(readings, sent - at)
-        readings.append(_Reading(one, one.read_ms))
+    for prompt in sorted(unread, key=_sent_ms):
+        sent = _sent_ms(prompt)
+        pending = _pending_after(pending, sent - at)
+        pending.append(_PendingRead(prompt, prompt.read_ms))
         at = sent
-    return _after(readings, -at)
+    return _pending_after(pending, -at)
 
 
-def _after(readings: list[_Reading], time_ms: float) -> list[_Reading]:
-    """Return what is left to read after some time."""
-    for reading in _in_order(readings):
-        spent = min(time_ms, reading.left_ms)
-        reading.left_ms -= spent
+def _pending_after(
+    pending: list[_PendingRead], time_ms: float
+) -> list[_PendingRead]:
+    """Return the reading that remains after some time."""
+    for reading in _in_read_order(pending):
+        spent = min(time_ms, reading.remaining_ms)
+        reading.remaining_ms -= spent
         time_ms -= spent
-    return [one for one in readings if one.left_ms > 0]
+    return [read for read in pending if read.remaining_ms > 0]
 
 
-def _in_order(readings: Sequence[_Reading]) -> list[_Reading]:
-    """Return readings in the order in which an engine takes them."""
-    ahead = [one for one in reversed(readings) if one.unread.is_ahead]
-    return ahead + [one for one in readings if not one.unread.is_ahead]
+def _in_read_order(pending: Sequence[_PendingRead]) -> list[_PendingRead]:
+    """Return the prompts in the order in which an engine reads them."""
+    ahead = [read for read in reversed(pending) if read.unread.is_ahead]
+    return ahead + [read for read in pending if not read.unread.is_ahead]
 
 
 def _overdue_ms(unread: Iterable[Unread]) -> float:
-    """Return how long an engine is taken to be busy beyond the forecast.
+    """Return the estimated time of overdue reading, in milliseconds.
 
-    A part of a split prompt says nothing: its prompt may wait for another
+    Parts of split prompts are left out: the prompt may be waiting for another
     engine.
     """
     overdue = [
-        one.waited_ms - one.read_ms for one in unread if not one.is_ahead
+        prompt.waited_ms - prompt.read_ms
+        for prompt in unread
+        if not prompt.is_ahead
     ]
-    return max(overdue, default=0) * _OVERDUE_PART
+    return max(overdue, default=0) * _OVERDUE_FRACTION
 
 
 def _is_answered_here(unread: Unread) -> bool:
@@ -191,4 +207,4 @@
 
 
 def _read_ms(unread: Iterable[Unread]) -> float:
-    return sum(one.read_ms for one in unread)
+    return sum(prompt.read_ms for prompt in unread)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/plain_choice.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/plain_choice.py
@@ -1,9 +1,10 @@
-"""Which replica of a plain service gets a call.
+"""Which replica of a plain service receives a call.
 
-Load pattern: a few replicas with a few slots each; one that is slow or nearly
-full would make calls wait while others idle.
+Load pattern: a service has a few replicas with a few slots each. A replica
+that is slow or nearly full makes calls wait while other replicas are idle.
 
-Without it: calls in turn pile up at a slow replica.
+Without this, calls that are distributed round-robin accumulate at a slow
+replica.
 """
 
 from collections.abc import Callable, Sequence
@@ -16,13 +17,13 @@
     replicas: Sequence[EndpointRecord],
     load_of: Callable[[EndpointId], float],
 ) -> EndpointRecord | None:
-    """Return the replica with the least load for its slots, if any.
+    """Return the replica with the lowest load per slot; None if there is none.
 
     Parameters
     ----------
     load_of
-        Returns the calls in progress at a replica, with a penalty for one
-        that failed lately.
+        Returns the number of calls in progress at a replica, with a penalty
+        for a replica that failed recently.
     """
     return min(
         replicas,
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/plan.py
@@ -1,4 +1,4 @@
-"""What is asked of a plan, and what a plan says."""
+"""Input and result of the placement of a prompt."""
 
 import math
 
@@ -6,26 +6,28 @@
 
 from ...ids import EndpointId
 
-#: Prompt tokens that weigh as much as one short turn: callers of long prompts
-#: wait longer and lose more with a late answer.
-_TOKENS_OF_A_TURN = 7500.0
-#: Weight of the shortest prompt in such turns.
-_LEAST_WEIGHT = 0.5
+#: Prompt tokens that weigh as much as one short request. Callers of long
+#: prompts wait longer and lose more by a late answer.
+_TOKENS_PER_SHORT_REQUEST = 7500.0
+#: Weight of an empty prompt, in short requests.
+_MIN_WEIGHT = 0.5
 
 
 class ReadRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A request to a model service, as far as its placement goes.
+    """The properties of a model request that placement depends on.
 
     Attributes
     ----------
     answer_tokens
-        Most tokens that the answer may have.
+        Maximum length of the answer, in tokens.
     objective_ms
-        Time to the first event that is left of what was promised.
+        Remaining time to the first event by the request's objective, in
+        milliseconds.
     pause_ms
-        Longest promised pause between events; 0 if nothing was promised.
+        Longest pause between events that the objective allows, in
+        milliseconds; 0 if there is no such objective.
     limit_ms
-        Time after which its caller has left.
+        Time after which the caller leaves, in milliseconds.
     """
 
     prompt_tokens: int
@@ -36,30 +38,30 @@
 
     @property
     def weight(self) -> float:
-        """Return how many short turns its objective counts for."""
-        return _LEAST_WEIGHT + self.prompt_tokens / _TOKENS_OF_A_TURN
+        """Number of short requests that the request's objective counts for."""
+        return _MIN_WEIGHT + self.prompt_tokens / _TOKENS_PER_SHORT_REQUEST
 
 
 class ReadPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a prompt is read.
+    """The engines that read a prompt.
 
     Attributes
     ----------
     home
-        Engine that gets the request and writes the answer.
+        Engine that receives the request and generates the answer.
     helpers
         Engines that read parts of the prompt for it.
     part_ms
-        Time that each of them needs for its part.
+        Time that each engine needs for its part, in milliseconds.
     expected_ms
-        Time to the first event.
+        Expected time to the first event, in milliseconds.
     stored
-        Tokens of the prompt that helpers have to store, by endpoint, where
-        the home engine's memory does not hold it.
+        Prompt tokens that each helper keeps in its memory, by endpoint, if
+        the prompt exceeds the memory of the engine that generates.
     cost
-        Expected harm, in broken promises of short turns.
+        Expected loss, in missed objectives of short requests.
     harm
-        The part of it that others bear.
+        Part of the cost that other requests bear.
     """
 
     home: EndpointId
@@ -72,5 +74,5 @@
 
     @property
     def members(self) -> tuple[EndpointId, ...]:
-        """Return all engines that take part, the home one first."""
+        """All engines that take part; the one that generates comes first."""
         return (self.home, *self.helpers)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/pressure.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/pressure.py
@@ -1,41 +1,41 @@
-"""How many short turns are about to come, and for how long each stays.
+"""Expected arrivals of short requests and their residence time.
 
-Load pattern: a prompt of half a million tokens comes while short turns arrive
-by the dozen a second. Read by two thirds of the engines at once it is done in
-two seconds; every turn of these two seconds then has to find a slot on the
-last third.
+Load pattern: a prompt of half a million tokens arrives while dozens of short
+requests arrive per second. If two thirds of the engines read the prompt at
+once, they need two seconds. Every short request of these two seconds then has
+to find a slot on the remaining third.
 
-Without it: only streams that exist are weighed against the prompt, and the
-turns that come in the next second are late one after the other.
+Without this, only existing streams are weighed against the prompt, and the
+short requests of the next second are all late.
 """
 
 import math
 
 import msgspec
 
-#: Time over which arrivals are averaged, in seconds: the mix of traffic flips
-#: within a second, and a mean over less is mostly chance.
+#: Time constant over which arrivals are averaged, in seconds. The mix of
+#: traffic changes within a second; a mean over a shorter time is mostly noise.
 _MEAN_SECONDS = 0.8
-#: Time that a turn holds its slot where none has ended yet, in seconds: about
-#: 1,600 tokens at a millisecond each.
-_FIRST_STAY = 1.7
-#: Weight of each ended turn in the mean time that turns stay.
-_STAY_WEIGHT = 0.05
+#: Residence time of a short request until the first one has ended, in seconds:
+#: about 1,600 tokens at one millisecond each.
+_INITIAL_SLOT_SECONDS = 1.7
+#: Weight of each ended request in the mean residence time.
+_SLOT_SECONDS_WEIGHT = 0.05
 
 
-class Pressure(msgspec.Struct, frozen=True, kw_only=True):
-    """Short turns that are to be expected.
+class PredictedDemand(msgspec.Struct, frozen=True, kw_only=True):
+    """Short requests that are expected to arrive.
 
     Attributes
     ----------
     turns_per_s
-        Arrivals at all entries together.
-    stay_seconds
-        Time for which a turn holds its slot.
+        Arrivals per second at all entries together.
+    slot_seconds
+        Residence time of a short request in its slot, in seconds.
     """
 
     turns_per_s: float = 0
-    stay_seconds: float = _FIRST_STAY
+    slot_seconds: float = _INITIAL_SLOT_SECONDS
 
     def overflow(
         self,
@@ -43,29 +43,31 @@
         free_slots: float,
         busy_slots: float,
     ) -> float:
-        """Return how many turns find no slot within some time.
+        """Return the number of requests that find no slot within some time.
 
         Parameters
         ----------
         free_slots, busy_slots
-            Slots that are free, or held by requests that end meanwhile, on
-            the engines that are left to turns.
+            Slots on the engines that remain for short requests: those that
+            are free, and those whose requests may end meanwhile.
 
         Examples
         --------
-        >>> Pressure(turns_per_s=40, stay_seconds=2).overflow(2, 30, 20)
+        >>> PredictedDemand(
+        ...     turns_per_s=40, slot_seconds=2,
+        ... ).overflow(2, 30, 20)
         30
         """
-        ended = busy_slots * min(1, seconds / self.stay_seconds)
-        return max(0, self.turns_per_s * seconds - free_slots - ended)
+        released = busy_slots * min(1, seconds / self.slot_seconds)
+        return max(0, self.turns_per_s * seconds - free_slots - released)
 
 
-class TurnMeter:
-    """Measures the turns that arrive at one entry.
+class ShortRequestMeter:
+    """Measures the short requests that arrive at one entry.
 
     Examples
     --------
-    >>> meter = TurnMeter()
+    >>> meter = ShortRequestMeter()
     >>> for arrival in range(400):
     ...     meter.arrived(arrival / 40)
     >>> round(meter.rate(10), -1)
@@ -73,23 +75,25 @@
     """
 
     def __init__(self) -> None:
-        self.stay_seconds = _FIRST_STAY
+        self.stay_seconds = _INITIAL_SLOT_SECONDS
         self._level: float = 0
-        self._at: float = 0
+        self._updated_at: float = 0
 
     def arrived(self, now: float) -> None:
-        """Note that a turn has come."""
+        """Record the arrival of a short request."""
         self._level = self._decayed(now) + 1
-        self._at = now
+        self._updated_at = now
 
     def ended(self, seconds: float) -> None:
-        """Note for how long a turn held its slot."""
-        self.stay_seconds += (seconds - self.stay_seconds) * _STAY_WEIGHT
+        """Record the residence time of a request that has ended."""
+        self.stay_seconds += (
+            seconds - self.stay_seconds
+        ) * _SLOT_SECONDS_WEIGHT
 
     def rate(self, now: float) -> float:
-        """Return the arrivals a second."""
+        """Return the number of arrivals per second."""
         return self._decayed(now) / _MEAN_SECONDS
 
     def _decayed(self, now: float) -> float:
-        passed = max(0, now - self._at)
-        return self._level * math.exp(-passed / _MEAN_SECONDS)
+        elapsed = max(0, now - self._updated_at)
+        return self._level * math.exp(-elapsed / _MEAN_SECONDS)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/read_plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/read_plan.py
@@ -1,22 +1,23 @@
-"""Which engines read a prompt, and which of them writes the answer.
-
-Load pattern: short turns, each a few tens of milliseconds of reading, come
-many times as often as prompts whose reading takes seconds. An engine reads
-between the tokens of other requests, so that a long read stretches the pauses
-of all streams beside it; a turn that comes behind one waits for it. Parts of
-a split prompt are read ahead of everything that an engine has, so that a new
-one delays all prompts that were begun there.
-
-Without it: by least requests alone, one engine reads a whole prompt of
-154,000 tokens in 3 s, which is past its own objective, and each short answer
-beside it pauses for 3 s. Prompts beyond an engine's memory are never served.
-
-What it does: a prompt is read in even parts by as many engines as leave the
-least harm, which is counted in streams that would break their promise. Parts
-of 100 ms harm nobody; a part of 500 ms goes to engines that write nothing.
-Short answers are gathered on some of the engines, up to `GATHERED_WRITERS`,
-so that others stay free for long parts. Turns that are about to come count
-as well, see `Pressure`.
+"""Which engines read a prompt, and which of them generates the answer.
+
+Load pattern: short requests, each with a few tens of milliseconds of reading,
+arrive many times as often as prompts whose reading takes seconds. An engine
+reads between the tokens of other requests. A long read therefore lengthens the
+pauses of all streams on the engine, and a short request that arrives behind it
+waits for it. Parts of a split prompt are read ahead of all other prompts of an
+engine, so that a new part delays all prompts that were begun there.
+
+If requests were placed by the lowest number of requests alone, one engine
+would read a whole prompt of 154,000 tokens in 3 s. That exceeds the prompt's
+own objective, and each short answer on the engine pauses for 3 s. Prompts that
+exceed the memory of an engine would never be served.
+
+A prompt is read in equal parts by the number of engines that costs least. The
+cost is counted in streams that miss their objective. Parts of 100 ms delay no
+stream beyond its objective; a part of 500 ms goes to engines without streams.
+Short answers are packed onto some of the engines, up to `PACKED_STREAMS`, so
+that the others stay free for long parts. Short requests that are expected to
+arrive count as well, see `PredictedDemand`.
 """
 
 import heapq
@@ -26,249 +27,288 @@
 from ...routing import EngineCosts
 from .engine_harm import (
     LONG_PART_MS,
-    SAFE_FIRST_EVENT,
+    SAFE_FIRST_EVENT_FRACTION,
     Candidate,
-    EngineHarm,
-    lateness,
+    EngineInterference,
+    lateness_cost,
 )
 from .plan import ReadPlan, ReadRequest
-from .pressure import Pressure
-
-#: Engines that may help the one that writes: what engines accept at most.
-MOST_HELPERS = 16
-#: A prompt that is read within this is not split: every part costs a message
-#: to one more engine, and a part of less than one pass gains nothing.
-LEAST_SPLIT_MS = 90.0
-#: Cost of each engine that takes part, in broken promises: it breaks ties
-#: towards fewer engines. If it were more, engines would idle beside a prompt
-#: that they could have read sooner.
+from .pressure import PredictedDemand
+
+#: Maximum number of helpers of a prompt, as engines accept no more.
+MAX_HELPERS = 16
+#: Reading time up to which a prompt is not split, in milliseconds. Each part
+#: costs a message to another engine, and a part that is shorter than a pass
+#: saves no time.
+MIN_SPLIT_MS = 90.0
+#: Cost of each engine that takes part, in missed objectives. It breaks ties in
+#: favour of fewer engines. With a higher cost, engines would be idle although
+#: they could read a part of the prompt and finish it sooner.
 _PART_COST = 0.004
-#: Harm up to which a short turn is read alone, in broken promises. Above it,
-#: one engine may help: halves are read ahead of long prompts that would hold
-#: the turn up.
-_GOOD_ENOUGH = 0.15
-#: Time that the network and the entry add to the first event, in ms.
+#: Cost up to which one engine reads a short request alone, in missed
+#: objectives. Above it, one helper is allowed: the halves are read ahead of
+#: long prompts that would delay the short request.
+_SHORT_SPLIT_COST = 0.15
+#: Time that the network and the entry add to the first event, in milliseconds.
 OVERHEAD_MS = 15.0
-#: Cost of a first event at the end of its objective against one at once, as a
-#: part of what its lateness costs. What is read sooner is held up by fewer
-#: others.
-_HURRY = 0.03
-#: Worth of an answer whose first event is late against one in time. Operators
-#: give a quarter to a third of the worth for late answers.
-LATE_PART = 0.25
-#: Part of the caller's time that may pass before a late first event without
-#: harm: the rest of the answer has to fit into it as well.
-_SAFE_LIMIT = 0.4
+#: Cost of a first event at the end of its objective relative to an immediate
+#: one, as a fraction of the cost of a missed objective. A prompt that is read
+#: sooner is delayed by fewer later ones.
+_LATENCY_COST = 0.03
+#: Value of an answer whose first event is late, as a fraction of the value of
+#: a timely one. Operators credit late answers with a quarter to a third.
+LATE_VALUE_FRACTION = 0.25
+#: Fraction of the caller's time that a late first event can use up without
+#: cost. The rest of the answer has to fit into the caller's time as well.
+_SAFE_LIMIT_FRACTION = 0.4
 _MS = 1000.0
-_NO_PRESSURE = Pressure()
+_NO_DEMAND = PredictedDemand()
 
 
 def is_turn(costs: EngineCosts, prompt_tokens: int) -> bool:
-    """Return whether a prompt is a short turn, which is read alone."""
-    return costs.read_ms(prompt_tokens) <= LEAST_SPLIT_MS
+    """Return whether a prompt is short, so that one engine reads it alone."""
+    return costs.read_ms(prompt_tokens) <= MIN_SPLIT_MS
 
 
 def plan_read(
     request: ReadRequest,
     candidates: Sequence[Candidate],
     costs: EngineCosts,
-    pressure: Pressure = _NO_PRESSURE,
+    demand: PredictedDemand = _NO_DEMAND,
 ) -> ReadPlan | None:
-    """Return the plan with the least harm; None if no engine has a slot.
+    """Return the plan with the lowest cost; None if no engine has a slot.
 
     Parameters
     ----------
-    pressure
-        Turns that are to be expected while the prompt is read.
+    demand
+        Short requests that are expected to arrive while the prompt is read.
     """
     engines = [
-        EngineHarm(candidate, costs, request.prompt_tokens)
+        EngineInterference(candidate, costs, request.prompt_tokens)
         for candidate in candidates
     ]
     is_short = is_turn(costs, request.prompt_tokens)
-    planner = _Planner(request, engines, pressure, is_turn=is_short)
-    if not planner.homes:
+    planner = _Planner(request, engines, demand, is_short=is_short)
+    if not planner.primaries:
         return None
     read_ms = costs.read_ms(request.prompt_tokens)
-    alone = planner.alone(read_ms)
+    alone = planner.plan_alone(read_ms)
     if is_short:
-        return planner.turn(read_ms, alone)
-    return planner.best(read_ms, alone)
+        return planner.plan_short(read_ms, alone)
+    return planner.plan_long(read_ms, alone)
 
 
 class _Planner:
-    """Weighs plans for one request."""
+    """Compares the plans for one request.
+
+    Attributes
+    ----------
+    primaries
+        Engines with a free slot, which can generate the answer.
+    needed_tokens
+        Memory that the prompt and its answer need, in tokens.
+    free_slots, busy_slots
+        Slots of the engines that serve short requests at present.
+    """
 
     def __init__(
         self,
         request: ReadRequest,
-        engines: Sequence[EngineHarm],
-        pressure: Pressure,
+        engines: Sequence[EngineInterference],
+        demand: PredictedDemand,
         *,
-        is_turn: bool,
+        is_short: bool,
     ) -> None:
         self.request = request
-        self.is_turn = is_turn
+        self.is_short = is_short
         self.engines = engines
-        self.pressure = pressure
-        self.homes = [one for one in engines if one.has_slot]
+        self.demand = demand
+        self.primaries = [engine for engine in engines if engine.has_slot]
         self.needed_tokens = request.prompt_tokens + request.answer_tokens
-        serving = [one for one in engines if one.serves_turns]
-        self.free_slots = sum(one.free_slots for one in serving)
-        self.busy_slots = sum(one.load.requests for one in serving)
+        serving = [engine for engine in engines if engine.serves_short_requests]
+        self.free_slots = sum(engine.free_slots for engine in serving)
+        self.busy_slots = sum(engine.load.requests for engine in serving)
 
-    def alone(self, read_ms: float) -> ReadPlan | None:
-        """Return the plan with the best engine to read and write alone."""
+    def plan_alone(self, read_ms: float) -> ReadPlan | None:
+        """Return the plan in which the best engine reads the whole prompt."""
         needed = self.needed_tokens
-        roomy = [one for one in self.homes if one.free_tokens >= needed]
-        if not roomy:
+        fitting = [
+            engine for engine in self.primaries if engine.free_tokens >= needed
+        ]
+        if not fitting:
             return None
-        costs = [self._cost_alone(home, read_ms) for home in roomy]
-        ties = [home.turn_tie if self.is_turn else 0 for home in roomy]
+        costs = [self._alone_cost(primary, read_ms) for primary in fitting]
+        ties = [
+            primary.short_tie_break if self.is_short else 0
+            for primary in fitting
+        ]
         ranks = list(map(sum, zip(costs, ties, strict=True)))
         chosen = ranks.index(min(ranks))
-        home = roomy[chosen]
+        primary = fitting[chosen]
         cost = costs[chosen]
-        expected = _expected((home,), read_ms)
+        expected = _expected_ms((primary,), read_ms)
         return ReadPlan(
-            home=home.endpoint,
+            home=primary.endpoint,
             part_ms=read_ms,
             expected_ms=expected,
             cost=cost,
-            harm=cost - self._lateness(expected),
+            harm=cost - self._lateness_cost(expected),
         )
 
-    def best(self, read_ms: float, alone: ReadPlan | None) -> ReadPlan | None:
-        """Return the best plan of all numbers of parts.
+    def plan_long(
+        self, read_ms: float, alone: ReadPlan | None
+    ) -> ReadPlan | None:
+        """Return the best plan over all numbers of parts.
 
         Parameters
         ----------
         alone
-            The plan of one part, if there is one.
+            The plan with one part, if there is one.
         """
-        most = min(MOST_HELPERS + 1, len(self.engines))
+        most = min(MAX_HELPERS + 1, len(self.engines))
         plans = [
-            self._split(read_ms / parts, parts) for parts in range(2, most + 1)
+            self._plan_split(read_ms / parts, parts)
+            for parts in range(2, most + 1)
         ]
         plans.append(alone)
         found = [plan for plan in plans if plan is not None]
         return min(found, key=_cost_of, default=None)
 
-    def turn(self, read_ms: float, alone: ReadPlan | None) -> ReadPlan | None:
-        """Return the plan for a short turn, with one helper at most."""
-        if alone is None or alone.cost < _GOOD_ENOUGH:
+    def plan_short(
+        self, read_ms: float, alone: ReadPlan | None
+    ) -> ReadPlan | None:
+        """Return the plan for a short request, with one helper at most."""
+        if alone is None or alone.cost < _SHORT_SPLIT_COST:
             return alone
-        halves = self._split(read_ms / 2, 2)
+        halves = self._plan_split(read_ms / 2, 2)
         if halves is None:
             return alone
         return min(alone, halves, key=_cost_of)
 
-    def _cost_alone(self, home: EngineHarm, read_ms: float) -> float:
-        """Return the harm of a prompt that waits behind what there is."""
-        cost = self._lateness(_expected((home,), read_ms))
-        cost += home.as_home(self.request.pause_ms) + home.of_last(read_ms)
-        return cost + self._crowding((home,), read_ms)
-
-    def _split(self, part_ms: float, parts: int) -> ReadPlan | None:
-        """Return the plan for a number of parts, which go ahead of others."""
-        # One more than needed, in case that the home is none of them.
+    def _alone_cost(self, primary: EngineInterference, read_ms: float) -> float:
+        """Return the cost of a prompt that one engine reads after its queue."""
+        cost = self._lateness_cost(_expected_ms((primary,), read_ms))
+        cost += primary.primary_cost(
+            self.request.pause_ms
+        ) + primary.cost_behind(read_ms)
+        return cost + self._overflow_cost((primary,), read_ms)
+
+    def _plan_split(self, part_ms: float, parts: int) -> ReadPlan | None:
+        """Return the plan with a number of parts, read ahead of the queues."""
+        # One engine more than needed, in case the primary is not among them.
         ranked = heapq.nsmallest(
             parts + 1,
             self.engines,
-            key=lambda one: one.of_part(part_ms),
+            key=lambda engine: engine.cost_ahead(part_ms),
         )
-        able = [one for one in ranked[:parts] if one.has_slot]
-        home = max(able or self.homes, key=_free_tokens)
-        helpers = [one for one in ranked if one is not home][: parts - 1]
-        stored = self._stored(home, helpers)
-        if stored is None:
+        able = [engine for engine in ranked[:parts] if engine.has_slot]
+        primary = max(able or self.primaries, key=_free_tokens)
+        helpers = [engine for engine in ranked if engine is not primary][
+            : parts - 1
+        ]
+        helper_tokens = self._helper_tokens(primary, helpers)
+        if helper_tokens is None:
             return None
-        members = (home, *helpers)
-        expected = _expected(members, part_ms)
-        harm = self._harm_of_split(members, part_ms)
+        members = (primary, *helpers)
+        expected = _expected_ms(members, part_ms)
+        interference = self._split_interference(members, part_ms)
         return ReadPlan(
-            home=home.endpoint,
-            helpers=tuple(one.endpoint for one in helpers),
+            home=primary.endpoint,
+            helpers=tuple(helper.endpoint for helper in helpers),
             part_ms=part_ms,
             expected_ms=expected,
-            stored=stored,
-            cost=self._lateness(expected) + harm,
-            harm=harm,
+            stored=helper_tokens,
+            cost=self._lateness_cost(expected) + interference,
+            harm=interference,
         )
 
-    def _harm_of_split(
+    def _split_interference(
         self,
-        members: Sequence[EngineHarm],
+        members: Sequence[EngineInterference],
         part_ms: float,
     ) -> float:
-        cost = members[0].as_home(self.request.pause_ms)
-        cost += sum(one.of_pauses(part_ms) for one in members)
-        cost += _delay(members, part_ms) + self._crowding(members, part_ms)
+        cost = members[0].primary_cost(self.request.pause_ms)
+        cost += sum(member.pause_cost(part_ms) for member in members)
+        cost += _delay_cost(members, part_ms) + self._overflow_cost(
+            members, part_ms
+        )
         return cost + _PART_COST * (len(members) - 1)
 
-    def _lateness(self, expected_ms: float) -> float:
+    def _lateness_cost(self, expected_ms: float) -> float:
         objective = max(1, self.request.objective_ms)
-        part = expected_ms / objective
-        late = lateness(part, SAFE_FIRST_EVENT) + _HURRY * min(1, part)
-        # What goes wrong otherwise: a prompt is read anew once its objective
-        # has passed. It seems that nothing can be lost any more, three engines
-        # read it in nine seconds, and its caller leaves meanwhile.
-        lost = lateness(expected_ms / self.request.limit_ms, _SAFE_LIMIT)
-        return self.request.weight * (late + LATE_PART * lost)
-
-    def _crowding(
+        used = expected_ms / objective
+        late = lateness_cost(
+            used, SAFE_FIRST_EVENT_FRACTION
+        ) + _LATENCY_COST * min(1, used)
+        # Accounts for callers that leave. Without this term, a prompt that is
+        # read again after its objective has passed seems to have nothing left
+        # to lose: three engines read it in nine seconds, and its caller leaves
+        # meanwhile.
+        lost = lateness_cost(
+            expected_ms / self.request.limit_ms, _SAFE_LIMIT_FRACTION
+        )
+        return self.request.weight * (late + LATE_VALUE_FRACTION * lost)
+
+    def _overflow_cost(
         self,
-        members: Sequence[EngineHarm],
+        members: Sequence[EngineInterference],
         part_ms: float,
     ) -> float:
-        """Return the harm to turns that come while a part is read.
+        """Return the cost for short requests that arrive during a part.
 
-        They are left the engines that do not take part and do not read for
-        long already.
+        Engines that take part, or that already have a long read, are not
+        available to these requests.
         """
         if part_ms < LONG_PART_MS:
             return 0
-        taken = [one for one in members if one.serves_turns]
-        free = self.free_slots - sum(one.free_slots for one in taken)
-        busy = self.busy_slots - sum(one.load.requests for one in taken)
-        return self.pressure.overflow(part_ms / _MS, free, busy)
+        occupied = [
+            member for member in members if member.serves_short_requests
+        ]
+        free = self.free_slots - sum(member.free_slots for member in occupied)
+        busy = self.busy_slots - sum(
+            member.load.requests for member in occupied
+        )
+        return self.demand.overflow(part_ms / _MS, free, busy)
 
-    def _stored(
+    def _helper_tokens(
         self,
-        home: EngineHarm,
-        helpers: Sequence[EngineHarm],
+        primary: EngineInterference,
+        helpers: Sequence[EngineInterference],
     ) -> tuple[tuple[EndpointId, int], ...] | None:
-        """Return what the helpers store; None if it does not fit at all."""
-        missing = self.needed_tokens - home.free_tokens
-        stored: list[tuple[EndpointId, int]] = []
+        """Return the tokens that each helper keeps; None if they do not fit."""
+        missing = self.needed_tokens - primary.free_tokens
+        helper_tokens: list[tuple[EndpointId, int]] = []
         for helper in sorted(helpers, key=_free_tokens, reverse=True):
             tokens = min(missing, helper.free_tokens)
             if tokens > 0:
-                stored.append((helper.endpoint, tokens))
+                helper_tokens.append((helper.endpoint, tokens))
                 missing -= tokens
-        return None if missing > 0 else tuple(stored)
+        return None if missing > 0 else tuple(helper_tokens)
 
 
-def _expected(members: Sequence[EngineHarm], part_ms: float) -> float:
-    """Return the time to the first event, in milliseconds."""
+def _expected_ms(
+    members: Sequence[EngineInterference], part_ms: float
+) -> float:
+    """Return the expected time to the first event, in milliseconds."""
     is_ahead = len(members) > 1
-    done = max(one.done_ms(part_ms, is_ahead=is_ahead) for one in members)
+    done = max(member.done_ms(part_ms, is_ahead=is_ahead) for member in members)
     return done + OVERHEAD_MS
 
 
-def _delay(members: Sequence[EngineHarm], part_ms: float) -> float:
-    """Return the harm to prompts that are read later.
+def _delay_cost(members: Sequence[EngineInterference], part_ms: float) -> float:
+    """Return the cost for queued prompts that are delayed.
 
-    A prompt that is read at several of the engines is delayed once.
+    A prompt that several of the engines read counts once, with its highest
+    cost.
     """
     worst: dict[str, float] = {}
-    for one in members:
-        for key, harm in one.delays(part_ms).items():
-            worst[key] = max(harm, worst.get(key, 0))
+    for member in members:
+        for key, cost in member.delay_costs(part_ms).items():
+            worst[key] = max(cost, worst.get(key, 0))
     return sum(worst.values())
 
 
-def _free_tokens(engine: EngineHarm) -> int:
+def _free_tokens(engine: EngineInterference) -> int:
     return engine.free_tokens
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/recent_sends.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/recent_sends.py
@@ -1,4 +1,4 @@
-"""What was sent to each endpoint lately, by this entry and by others."""
+"""Requests sent recently to each endpoint, by this entry and by its peers."""
 
 import math
 from collections import Counter, deque
@@ -8,12 +8,12 @@
 
 from ...routing import EndpointLifetime
 
-#: Length of the spans of age by which sends are told, in seconds.
+#: Width of the age buckets in which sent requests are reported, in seconds.
 SLOT_SECONDS = 0.25
-#: Spans by which sends are told: the longest window of a limit, and the wait of
-#: an entry beyond it.
+#: Number of age buckets. They cover the longest window of a rate limit and the
+#: time that an entry waits beyond it.
 SLOTS = 20
-_REMEMBERED_SECONDS = SLOTS * SLOT_SECONDS
+_RETENTION_SECONDS = SLOTS * SLOT_SECONDS
 
 
 class RecentSends:
@@ -35,26 +35,26 @@
         self._in_order: deque[tuple[float, EndpointLifetime]] = deque()
 
     def note(self, endpoint: EndpointLifetime, now: float) -> None:
-        """Note a request; forget those that are too old to count."""
+        """Record a sent request and remove requests that are too old."""
         self._in_order.append((now, endpoint))
         self.times.setdefault(endpoint, deque()).append(now)
-        begin = now - _REMEMBERED_SECONDS
+        begin = now - _RETENTION_SECONDS
         while self._in_order[0][0] < begin:
-            self._forget_oldest()
+            self._remove_oldest()
 
     def since(self, endpoint: EndpointLifetime, begin: float) -> int:
-        """Return how many were sent after a moment."""
+        """Return the number of requests sent after a time."""
         return sum(at > begin for at in self.times.get(endpoint, ()))
 
     def by_age(self, endpoint: EndpointLifetime, now: float) -> list[int]:
-        """Return how many were sent, by spans of age."""
-        found = Counter(
+        """Return the number of sent requests in each age bucket."""
+        counts = Counter(
             int((now - at) / SLOT_SECONDS)
             for at in self.times.get(endpoint, ())
         )
-        return [found[slot] for slot in range(SLOTS)]
+        return [counts[bucket] for bucket in range(SLOTS)]
 
-    def _forget_oldest(self) -> None:
+    def _remove_oldest(self) -> None:
         _, endpoint = self._in_order.popleft()
         times = self.times[endpoint]
         times.popleft()
@@ -63,18 +63,26 @@
 
 
 class HeardSends(msgspec.Struct, frozen=True):
-    """What a peer said that it sent, and when it said so."""
+    """The sent requests that a peer reported.
+
+    Attributes
+    ----------
+    sends
+        Number of sent requests in each age bucket.
+    at
+        Time of the report, on the monotonic clock.
+    """
 
     sends: tuple[int, ...]
     at: float
 
     def within(self, seconds: float, now: float) -> int:
-        """Return how many were sent in the last seconds, rather too many."""
-        left = max(0, seconds - (now - self.at))
-        return sum(self.sends[: math.ceil(left / SLOT_SECONDS)])
+        """Return an upper bound of the requests sent in the last seconds."""
+        remaining = max(0, seconds - (now - self.at))
+        return sum(self.sends[: math.ceil(remaining / SLOT_SECONDS)])
 
     def aged(self, now: float) -> list[int]:
-        """Return the same numbers by the age that the sends have now."""
-        passed = int((now - self.at) / SLOT_SECONDS)
-        padded = chain(repeat(0, passed), self.sends, repeat(0))
+        """Return the numbers by the present age of the requests."""
+        elapsed = int((now - self.at) / SLOT_SECONDS)
+        padded = chain(repeat(0, elapsed), self.sends, repeat(0))
         return list(islice(padded, SLOTS))
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders.py
@@ -1,4 +1,4 @@
-"""Engines and loads for the tests of placement."""
+"""Engines and requests for the placement tests."""
 
 from ....ids import EndpointId
 from ....routing import EngineCosts, EngineLoad, PausePromise, Unread
@@ -21,16 +21,16 @@
     return Candidate(EndpointId(f'e{number}'), EngineLoad(**load))
 
 
-def idle(count: int, first: int = 0) -> list[Candidate]:
+def idle_engines(count: int, first: int = 0) -> list[Candidate]:
     return [engine(number) for number in range(first, first + count)]
 
 
-def chatting(
+def generating_engines(
     count: int,
     writers: int = 4,
     first: int = 100,
 ) -> list[Candidate]:
-    """Return engines that write short answers."""
+    """Return engines that generate short answers."""
     return [
         engine(
             number,
@@ -44,7 +44,7 @@
     ]
 
 
-def reading(
+def reading_engine(
     number: int,
     done_ms: float,
     key: str = 'long',
@@ -58,8 +58,8 @@
     )
 
 
-def turn(tokens: int = 4960) -> ReadRequest:
-    """Return a short turn."""
+def short_request(tokens: int = 4960) -> ReadRequest:
+    """Return a request that one engine reads alone."""
     return ReadRequest(
         prompt_tokens=tokens,
         answer_tokens=1700,
@@ -68,8 +68,10 @@
     )
 
 
-def archive(tokens: int = 154_000, objective_ms: float = 3000) -> ReadRequest:
-    """Return a long prompt."""
+def long_request(
+    tokens: int = 154_000, objective_ms: float = 3000
+) -> ReadRequest:
+    """Return a request with a long prompt."""
     return ReadRequest(
         prompt_tokens=tokens,
         answer_tokens=900,
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_loads.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_loads.py
@@ -1,10 +1,10 @@
-"""What entries know of engines: their own work and their peers' updates."""
+"""Loads of engines from an entry's own work and the reports of its peers."""
 
 from ....ids import EndpointId, PeerId, RequestId, ZoneId
 from ....routing import EngineLoad, EngineShare, Unread
 from ..engine_work import Assignment
-from ..load_book import STALE_SECONDS, LoadBook
-from ..pass_forecast import forecast
+from ..load_registry import STALE_SECONDS, LoadBook
+from ..pass_forecast import forecast_passes
 from .builders import COSTS
 
 ENGINE = EndpointId('e1')
@@ -16,156 +16,164 @@
     return EngineShare(ENGINE, EngineLoad(**load))
 
 
-def busy(book: LoadBook, now: float) -> int:
-    return round(forecast(book.load(ENGINE, now), COSTS).busy_ms)
+def busy_ms(registry: LoadBook, now: float) -> int:
+    return round(forecast_passes(registry.load(ENGINE, now), COSTS).busy_ms)
 
 
 def test_reading_ends_with_the_first_token() -> None:
-    book = LoadBook()
-    book.begin(REQUEST, {ENGINE: Assignment(read_ms=800)}, now=10)
-    assert busy(book, 10.3) == 500
-    book.first_token(REQUEST, [ENGINE])
-    assert not book.load(ENGINE, 10.5).unread
-    assert book.load(ENGINE, 10.5).writers == 1
-    book.end(REQUEST, [ENGINE])
-    assert book.load(ENGINE, 11) == EngineLoad()
+    registry = LoadBook()
+    registry.begin(REQUEST, {ENGINE: Assignment(read_ms=800)}, now=10)
+    assert busy_ms(registry, 10.3) == 500
+    registry.first_token(REQUEST, [ENGINE])
+    assert not registry.load(ENGINE, 10.5).unread
+    assert registry.load(ENGINE, 10.5).writers == 1
+    registry.end(REQUEST, [ENGINE])
+    assert registry.load(ENGINE, 11) == EngineLoad()
 
 
 def test_overdue_reading_does_not_make_an_engine_look_idle() -> None:
     """An engine takes longer to read than was estimated.
 
-    If it looked idle from then on, more prompts would be sent to it, and
-    each would wait longer than the one before.
+    If the engine looked idle from then on, more prompts would be sent there,
+    and each would wait longer than the previous one.
     """
-    book = LoadBook()
-    book.begin(REQUEST, {ENGINE: Assignment(read_ms=800)}, now=10)
-    assert busy(book, 11.8) == 500
+    registry = LoadBook()
+    registry.begin(REQUEST, {ENGINE: Assignment(read_ms=800)}, now=10)
+    assert busy_ms(registry, 11.8) == 500
 
 
-def test_later_part_goes_ahead() -> None:
-    book = LoadBook()
+def test_later_part_is_read_first() -> None:
+    registry = LoadBook()
     first = Assignment(read_ms=500, is_ahead=True)
     second = Assignment(read_ms=300, is_ahead=True)
-    book.begin(RequestId('first'), {ENGINE: first}, now=10)
-    book.begin(RequestId('second'), {ENGINE: second}, now=10.1)
-    known = forecast(book.load(ENGINE, 10.1), COSTS)
+    registry.begin(RequestId('first'), {ENGINE: first}, now=10)
+    registry.begin(RequestId('second'), {ENGINE: second}, now=10.1)
+    forecast = forecast_passes(registry.load(ENGINE, 10.1), COSTS)
     done = {
-        one.key: round(done_ms)
-        for one, done_ms in zip(known.waiting, known.done_ms, strict=True)
+        prompt.key: round(done_ms)
+        for prompt, done_ms in zip(
+            forecast.waiting, forecast.done_ms, strict=True
+        )
     }
     assert done == {'first': 700, 'second': 300}
 
 
-def test_word_of_a_peer_ages() -> None:
-    """A peer falls silent, as if cut off, after it began a long prompt."""
-    book = LoadBook()
+def test_report_of_a_peer_expires() -> None:
+    """A peer starts a long prompt and sends no more reports."""
+    registry = LoadBook()
     unread = Unread('long', 20, read_ms=1000, waited_ms=0, slack_ms=3000)
     update = share(requests=1, unread=(unread,))
-    book.hear(PEER, [update], now=10, is_whole=True)
-    assert busy(book, 10.4) == 600
-    assert book.load(ENGINE, 10.4).requests == 1
-    assert book.load(ENGINE, 10.1 + STALE_SECONDS) == EngineLoad()
+    registry.hear(PEER, [update], now=10, is_whole=True)
+    assert busy_ms(registry, 10.4) == 600
+    assert registry.load(ENGINE, 10.4).requests == 1
+    assert registry.load(ENGINE, 10.1 + STALE_SECONDS) == EngineLoad()
 
 
-def test_lost_word_is_made_good_by_the_next_whole_one() -> None:
-    """The message that a request is over is lost on the way."""
-    book = LoadBook()
-    book.hear(PEER, [share(requests=5)], now=10, is_whole=False)
-    book.hear(PEER, [], now=11, is_whole=True)
-    assert book.load(ENGINE, 11).requests == 0
+def test_full_update_repairs_a_lost_one() -> None:
+    """The update that a request has ended is lost."""
+    registry = LoadBook()
+    registry.hear(PEER, [share(requests=5)], now=10, is_whole=False)
+    registry.hear(PEER, [], now=11, is_whole=True)
+    assert registry.load(ENGINE, 11).requests == 0
 
 
-def test_only_what_changed_is_told() -> None:
-    book = LoadBook()
-    book.begin(REQUEST, {ENGINE: Assignment(read_ms=100)}, now=10)
-    assert book.take_changed() == {ENGINE}
-    assert book.take_changed() == set()
-    book.end(REQUEST, [ENGINE])
-    told = book.shares(book.take_changed(), now=11)
-    assert told == (EngineShare(ENGINE, EngineLoad()),)
+def test_only_changed_endpoints_are_reported() -> None:
+    registry = LoadBook()
+    registry.begin(REQUEST, {ENGINE: Assignment(read_ms=100)}, now=10)
+    assert registry.take_changed() == {ENGINE}
+    assert registry.take_changed() == set()
+    registry.end(REQUEST, [ENGINE])
+    reported = registry.shares(registry.take_changed(), now=11)
+    assert reported == (EngineShare(ENGINE, EngineLoad()),)
 
 
-FAR = ZoneId('z2')
-OTHER = PeerId('entry-9')
+OTHER_ZONE = ZoneId('z2')
+OTHER_PEER = PeerId('entry-9')
 
 
-def test_word_of_another_cell_holds_all_that_is_there() -> None:
-    book = LoadBook()
-    book.begin(REQUEST, {ENGINE: Assignment(read_ms=100)}, now=10)
-    book.hear_cell(FAR, [share(requests=3)], now=10.5)
-    assert book.load(ENGINE, 10.5).requests == 4
+def test_cell_summary_is_added_to_own_work() -> None:
+    registry = LoadBook()
+    registry.begin(REQUEST, {ENGINE: Assignment(read_ms=100)}, now=10)
+    registry.hear_cell(OTHER_ZONE, [share(requests=3)], now=10.5)
+    assert registry.load(ENGINE, 10.5).requests == 4
 
 
-def test_entry_is_not_told_of_its_own_work() -> None:
-    """An entry sends turns to another cell, whose summary comes right after.
+def test_receiver_own_work_is_left_out_of_its_summary() -> None:
+    """An entry sends short requests to another cell and gets its summary.
 
-    Told of them once more, it would count them twice for a second.
+    If the summary included these requests, the entry would count them twice
+    for a second.
     """
-    book = LoadBook()
-    book.hear(PEER, [share(requests=2)], now=10, is_whole=False)
-    book.hear(PeerId('entry-3'), [share(requests=1)], now=10, is_whole=False)
-    told = book.near_shares([ENGINE], 10, PEER)
-    assert told[0].load.requests == 1
+    registry = LoadBook()
+    registry.hear(PEER, [share(requests=2)], now=10, is_whole=False)
+    registry.hear(
+        PeerId('entry-3'), [share(requests=1)], now=10, is_whole=False
+    )
+    reported = registry.near_shares([ENGINE], 10, PEER)
+    assert reported[0].load.requests == 1
 
 
-def test_engine_that_another_cell_leaves_out_is_idle() -> None:
-    book = LoadBook()
-    book.hear_cell(FAR, [share(requests=3)], now=10)
-    book.hear_cell(FAR, [], now=11)
-    assert book.load(ENGINE, 11) == EngineLoad()
+def test_engine_left_out_of_a_cell_summary_is_idle() -> None:
+    registry = LoadBook()
+    registry.hear_cell(OTHER_ZONE, [share(requests=3)], now=10)
+    registry.hear_cell(OTHER_ZONE, [], now=11)
+    assert registry.load(ENGINE, 11) == EngineLoad()
 
 
-def test_silent_cell_is_not_believed_for_long() -> None:
+def test_reports_of_a_silent_cell_expire() -> None:
     """A whole zone is cut off.
 
-    What was said of its engines would keep this entry away from them, or
-    send it there, long after it has changed.
+    If old reports of its engines still counted, this entry would avoid or
+    prefer these engines long after their load has changed.
     """
-    book = LoadBook()
-    book.hear_cell(FAR, [share(requests=5)], now=10, turns_per_s=40)
+    registry = LoadBook()
+    registry.hear_cell(OTHER_ZONE, [share(requests=5)], now=10, turns_per_s=40)
     now = 10.1 + STALE_SECONDS
-    assert book.load(ENGINE, now) == EngineLoad()
-    assert not book.pressure(now, everywhere=True).turns_per_s
+    assert registry.load(ENGINE, now) == EngineLoad()
+    assert not registry.pressure(now, everywhere=True).turns_per_s
 
 
-def test_turns_of_other_cells_count_for_work_that_goes_there() -> None:
-    book = LoadBook()
-    book.hear(PEER, [], now=10, is_whole=True, turns_per_s=5)
-    book.hear_cell(FAR, [], now=10, turns_per_s=40)
-    assert book.pressure(10).turns_per_s == 5
-    assert book.pressure(10, everywhere=True).turns_per_s == 45
+def test_demand_of_other_cells_is_included_on_request() -> None:
+    registry = LoadBook()
+    registry.hear(PEER, [], now=10, is_whole=True, turns_per_s=5)
+    registry.hear_cell(OTHER_ZONE, [], now=10, turns_per_s=40)
+    assert registry.pressure(10).turns_per_s == 5
+    assert registry.pressure(10, everywhere=True).turns_per_s == 45
 
 
-def test_streams_of_a_cell_are_told_by_their_pauses() -> None:
-    book = LoadBook()
+def test_cell_shares_group_streams_by_pause() -> None:
+    registry = LoadBook()
     for number, pause_ms in enumerate((250, 250, 800)):
         request = RequestId(f'r{number}')
         work = {ENGINE: Assignment(read_ms=10, pause_ms=pause_ms)}
-        book.begin(request, work, now=10)
-        book.first_token(request, [ENGINE])
-    book.hear(PEER, book.shares([ENGINE], 10), now=10, is_whole=True)
-    load = book.near_shares([ENGINE], 10, OTHER)[0].load
+        registry.begin(request, work, now=10)
+        registry.first_token(request, [ENGINE])
+    registry.hear(PEER, registry.shares([ENGINE], 10), now=10, is_whole=True)
+    load = registry.near_shares([ENGINE], 10, OTHER_PEER)[0].load
     assert load.requests == 6
-    weights = {one.pause_ms: one.weight for one in load.promises}
+    weights = {promise.pause_ms: promise.weight for promise in load.promises}
     assert weights == {250: 4, 800: 2}
 
 
-def test_age_of_what_is_known_is_that_of_the_oldest_word() -> None:
-    book = LoadBook()
-    assert book.news_age(ENGINE, 10) is None
-    book.hear(PEER, [share(requests=1)], now=10, is_whole=False)
-    book.hear(PeerId('entry-3'), [share(requests=1)], now=11, is_whole=False)
-    assert book.news_age(ENGINE, 12) == 2
-    book.hear_cell(FAR, [share(requests=3)], now=11)
-    assert book.news_age(ENGINE, 12) == 1
+def test_report_age_is_that_of_the_oldest_report() -> None:
+    registry = LoadBook()
+    assert registry.news_age(ENGINE, 10) is None
+    registry.hear(PEER, [share(requests=1)], now=10, is_whole=False)
+    registry.hear(
+        PeerId('entry-3'), [share(requests=1)], now=11, is_whole=False
+    )
+    assert registry.news_age(ENGINE, 12) == 2
+    registry.hear_cell(OTHER_ZONE, [share(requests=3)], now=11)
+    assert registry.news_age(ENGINE, 12) == 1
 
 
-def test_word_of_a_silent_peer_is_not_passed_on() -> None:
+def test_report_of_a_silent_peer_is_not_forwarded() -> None:
     """A peer is cut off after it has sent work to an engine of this cell.
 
-    Passed on to other cells, its work would keep them away for good.
+    If its work were reported to other cells, they would avoid the engine for
+    good.
     """
-    book = LoadBook()
-    book.hear(PEER, [share(requests=3)], now=10, is_whole=False)
-    assert book.near_shares([ENGINE], 11, OTHER)
-    assert not book.near_shares([ENGINE], 10.1 + STALE_SECONDS, OTHER)
+    registry = LoadBook()
+    registry.hear(PEER, [share(requests=3)], now=10, is_whole=False)
+    assert registry.near_shares([ENGINE], 11, OTHER_PEER)
+    assert not registry.near_shares([ENGINE], 10.1 + STALE_SECONDS, OTHER_PEER)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_pass_forecast.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_pass_forecast.py
@@ -1,137 +1,160 @@
-"""When an engine takes in new work, against a model of its passes."""
+"""Forecasts of the passes of an engine, and the costs derived from them."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
 from ....routing import EngineLoad, PausePromise, Unread
-from ..engine_harm import EngineHarm
-from ..pass_forecast import forecast
-from .builders import COSTS, chatting, engine, reading
+from ..engine_harm import EngineInterference
+from ..pass_forecast import forecast_passes
+from .builders import COSTS, engine, generating_engines, reading_engine
 
 PASS_MS = COSTS.pass_ms(writers=4, context_tokens=20_000)
 SLACK_MS = 3000
-#: Harm that counts as none, and as nearly one broken promise of a short
-#: turn.
-NO_HARM = 0.1
-ONE_PROMISE = 0.9
+#: Costs that count as none and as nearly one missed objective of a short
+#: request.
+NEGLIGIBLE_COST = 0.1
+NEARLY_ONE_MISS = 0.9
 
 
-def part(key: str, read_ms: float, waited_ms: float, **more: object) -> Unread:
+def unread_part(
+    key: str, read_ms: float, waited_ms: float, **more: object
+) -> Unread:
     return Unread(key, 20, read_ms, waited_ms, SLACK_MS, **more)
 
 
-def writing(*unread: Unread) -> EngineLoad:
-    """Return the load of an engine that writes four short answers."""
-    load = chatting(1)[0].load
+def generating_load(*unread: Unread) -> EngineLoad:
+    """Return the load of an engine that generates four short answers."""
+    load = generating_engines(1)[0].load
     load.unread = unread
     return load
 
 
-def test_writing_engine_takes_in_work_between_passes_only() -> None:
-    """A long part is being read by an engine that writes short answers.
+def test_generating_engine_accepts_work_between_passes_only() -> None:
+    """An engine that generates short answers reads a long part.
 
-    A turn that is sent there waits for the end of this pass. Taken as if it
-    were read beside the part, it would be promised its first token a second
-    too early.
+    A short request that is sent there waits for the end of this pass. If it
+    were assumed to be read beside the part, its first token would be expected
+    a second too early.
     """
-    known = forecast(writing(part('long', 1500, waited_ms=200)), COSTS)
-    assert not known.waiting
-    assert 1300 < known.opens_ms < 1300 + 2 * PASS_MS
-    assert known.busy_ms == known.opens_ms
+    forecast = forecast_passes(
+        generating_load(unread_part('long', 1500, waited_ms=200)), COSTS
+    )
+    assert not forecast.waiting
+    assert 1300 < forecast.next_intake_ms < 1300 + 2 * PASS_MS
+    assert forecast.busy_ms == forecast.next_intake_ms
 
 
-def test_later_part_does_not_delay_the_pass_that_runs() -> None:
-    """A second long prompt comes to an engine that writes and reads.
+def test_later_part_does_not_delay_the_running_pass() -> None:
+    """A third long prompt arrives at an engine that generates and reads.
 
-    The first is in the pass that runs, so that nothing can hold it up; the
-    second waits for that pass, and the third is read with the second.
+    The first prompt is in the running pass and cannot be delayed. The second
+    waits for the end of that pass, and the third is read with the second.
     """
-    load = writing(
-        part('first', 900, waited_ms=500),
-        part('second', 300, waited_ms=100),
+    load = generating_load(
+        unread_part('first', 900, waited_ms=500),
+        unread_part('second', 300, waited_ms=100),
+    )
+    forecast = forecast_passes(load, COSTS)
+    assert [one.key for one in forecast.waiting] == ['second']
+    interference = EngineInterference(
+        engine(1, **as_fields(load)), COSTS, 100_000
     )
-    known = forecast(load, COSTS)
-    assert [one.key for one in known.waiting] == ['second']
-    harm = EngineHarm(engine(1, **as_fields(load)), COSTS, 100_000)
-    assert set(harm.delays(400)) == {'second'}
-    alone = known.opens_ms + known.pass_ms + 300 + 400
-    assert harm.done_ms(400, is_ahead=True) == alone
+    assert set(interference.delay_costs(400)) == {'second'}
+    alone = forecast.next_intake_ms + forecast.pass_ms + 300 + 400
+    assert interference.done_ms(400, is_ahead=True) == alone
 
 
-def test_answer_that_is_about_to_begin_counts() -> None:
-    """An engine has read its part of a prompt whose answer it will write.
+def test_answer_that_begins_soon_counts_as_a_stream() -> None:
+    """An engine has read its part of a prompt whose answer it generates.
 
-    Other engines still read theirs. The engine looks idle, and a part of
-    another prompt that is put there is read in the first pass of the answer,
-    which pauses for as long.
+    Other engines still read their parts. If the engine counted as idle, a part
+    of another prompt would be placed there and read in the first pass of the
+    answer, which would pause for the whole reading time.
     """
-    waits = part('first', 300, waited_ms=400, is_ahead=True, pause_ms=800)
+    waits = unread_part(
+        'first', 300, waited_ms=400, is_ahead=True, pause_ms=800
+    )
     load = EngineLoad(requests=1, unread=(waits,))
-    assert forecast(load, COSTS).starting == (waits,)
-    harm = EngineHarm(engine(1, **as_fields(load)), COSTS, 100_000)
-    assert harm.of_part(1200) > 10
+    assert forecast_passes(load, COSTS).starting == (waits,)
+    interference = EngineInterference(
+        engine(1, **as_fields(load)), COSTS, 100_000
+    )
+    assert interference.cost_ahead(1200) > 10
 
 
-def test_prompt_behind_a_turn_lengthens_its_first_pause() -> None:
-    """A turn was sent to an engine that writes nothing, some moments ago.
+def test_prompt_behind_a_short_request_lengthens_its_first_pause() -> None:
+    """A short request was just sent to an engine without streams.
 
-    Until its first event is heard of, a prompt of 50,000 tokens seems to harm
-    nobody there. It is read in the first pass of the turn's answer, whose
-    caller sees it stop for a third of a second.
+    Its first event has not arrived yet. If the request counted for nothing
+    until then, a prompt of 50,000 tokens would be placed behind it and read in
+    the first pass of its answer, which would pause for a third of a second.
     """
-    sent = part('turn', 20, waited_ms=10, pause_ms=250)
-    harm = EngineHarm(engine(1, requests=1, unread=(sent,)), COSTS, 50_000)
-    assert harm.of_last(350) > 10
-    assert harm.of_last(20) < NO_HARM
+    sent = unread_part('turn', 20, waited_ms=10, pause_ms=250)
+    interference = EngineInterference(
+        engine(1, requests=1, unread=(sent,)), COSTS, 50_000
+    )
+    assert interference.cost_behind(350) > 10
+    assert interference.cost_behind(20) < NEGLIGIBLE_COST
 
 
-def test_prompt_behind_a_turn_in_the_same_pass_delays_it() -> None:
-    """A turn waits for the next pass of an engine that writes.
+def test_prompt_in_the_same_pass_delays_a_short_request() -> None:
+    """A short request waits for the next pass of an engine that generates.
 
-    A prompt that joins it there is read in the same pass, so that the first
-    event of the turn comes with the end of both.
+    A prompt that is added to this pass delay_costs the first event of the short
+    request, which is emitted when both are read.
     """
     sent = Unread('turn', 1, 20, 5, slack_ms=300, pause_ms=250)
-    load = writing(sent)
-    harm = EngineHarm(engine(1, **as_fields(load)), COSTS, 50_000)
-    assert harm.of_last(350) > ONE_PROMISE
+    load = generating_load(sent)
+    interference = EngineInterference(
+        engine(1, **as_fields(load)), COSTS, 50_000
+    )
+    assert interference.cost_behind(350) > NEARLY_ONE_MISS
 
 
-def test_reading_engine_takes_a_part_in_at_once() -> None:
-    """An engine that only reads is sent a part of another prompt."""
-    harm = EngineHarm(reading(1, 900), COSTS, 100_000)
-    assert harm.done_ms(200, is_ahead=True) == 200
-    assert harm.done_ms(200, is_ahead=False) == 1100
+def test_reading_engine_accepts_a_part_at_once() -> None:
+    """An engine that only reads receives a part of another prompt."""
+    interference = EngineInterference(reading_engine(1, 900), COSTS, 100_000)
+    assert interference.done_ms(200, is_ahead=True) == 200
+    assert interference.done_ms(200, is_ahead=False) == 1100
 
 
-def test_pause_that_is_broken_anyway_costs_no_more() -> None:
-    """A stream is going to pause for a second, and another part comes.
+def test_second_missed_pause_of_a_stream_costs_less() -> None:
+    """Another part arrives for streams that already pause for a second.
 
-    What is lost there already is no reason to break streams elsewhere.
+    Their objective is already missed. If it were counted again, the part would
+    go elsewhere and make other streams miss their objectives.
     """
-    calm = EngineHarm(engine(1, **as_fields(writing())), COSTS, 100_000)
-    load = writing(part('first', 900, 500), part('second', 900, 100))
-    broken = EngineHarm(engine(2, **as_fields(load)), COSTS, 100_000)
-    assert calm.of_pauses(700) > 4
-    assert broken.of_pauses(700) < 2
+    unloaded = EngineInterference(
+        engine(1, **as_fields(generating_load())), COSTS, 100_000
+    )
+    load = generating_load(
+        unread_part('first', 900, 500), unread_part('second', 900, 100)
+    )
+    delayed = EngineInterference(engine(2, **as_fields(load)), COSTS, 100_000)
+    assert unloaded.pause_cost(700) > 4
+    assert delayed.pause_cost(700) < 2
 
 
-def test_stream_of_a_long_prompt_weighs_more_than_a_turn() -> None:
-    """A part is placed beside an audit's answer or a guest's.
+def test_stream_of_a_long_prompt_weighs_more_than_a_short_one() -> None:
+    """A part is placed beside the answer of an audit or of a guest.
 
-    The operator loses sixteen times as much by the audit that pauses.
+    A pause of the audit costs the operator sixteen times as much.
     """
     audit = engine(1, requests=1, writers=1, promises=(PausePromise(1000, 21),))
     guest = engine(2, requests=1, writers=1, promises=(PausePromise(250, 1),))
-    harms = [EngineHarm(one, COSTS, 200_000) for one in (audit, guest)]
-    assert harms[0].of_pauses(1200) > 10 * harms[1].of_pauses(1200)
+    interferences = [
+        EngineInterference(one, COSTS, 200_000) for one in (audit, guest)
+    ]
+    assert interferences[0].pause_cost(1200) > 10 * interferences[1].pause_cost(
+        1200
+    )
 
 
 def test_answer_that_begins_with_the_next_pass_counts_as_a_stream() -> None:
-    """A turn is read by the pass that runs and writes from the next on."""
-    turn = part('turn', 30, waited_ms=100, pause_ms=250.0)
-    load = writing(part('long', 900, waited_ms=100), turn)
-    assert forecast(load, COSTS).starting == (turn,)
+    """A short request is read by the running pass and generates after it."""
+    short = unread_part('turn', 30, waited_ms=100, pause_ms=250.0)
+    load = generating_load(unread_part('long', 900, waited_ms=100), short)
+    assert forecast_passes(load, COSTS).starting == (short,)
 
 
 @given(
@@ -145,22 +168,22 @@
     ),
     st.integers(0, 3),
 )
-def test_no_reading_is_lost(
+def test_forecast_accounts_for_all_reading(
     parts: list[tuple[float, float, bool]],
     writers: int,
 ) -> None:
-    """What waits is never done before it could have been read."""
+    """No waiting prompt is done before an engine could have read it."""
     unread = tuple(
-        part(f'p{number}', read_ms, waited_ms, is_ahead=is_ahead)
+        unread_part(f'p{number}', read_ms, waited_ms, is_ahead=is_ahead)
         for number, (read_ms, waited_ms, is_ahead) in enumerate(parts)
     )
     load = EngineLoad(requests=writers, writers=writers, unread=unread)
-    known = forecast(load, COSTS)
-    assert len(known.waiting) == len(known.done_ms)
-    for one, done_ms in zip(known.waiting, known.done_ms, strict=True):
+    forecast = forecast_passes(load, COSTS)
+    assert len(forecast.waiting) == len(forecast.done_ms)
+    for one, done_ms in zip(forecast.waiting, forecast.done_ms, strict=True):
         assert done_ms >= one.read_ms - one.waited_ms - 1
     total = sum(read_ms for read_ms, _, _ in parts)
-    assert known.queued_ms <= total + 1
+    assert forecast.queued_ms <= total + 1
 
 
 def as_fields(load: EngineLoad) -> dict[str, object]:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
@@ -1,22 +1,29 @@
-"""Where prompts are read: what each kind of load leaves whole.
+"""Placement of prompts under each kind of load.
 
-Naive is what an entry does that sends each request to the engine with the
-fewest of them and splits nothing.
+The baseline is placement on the engine with the fewest requests, without
+splitting prompts.
 """
 
 import msgspec
 import pytest
 
-from ..engine_harm import SAFE_FIRST_EVENT, Candidate, lateness
+from ..engine_harm import SAFE_FIRST_EVENT_FRACTION, Candidate, lateness_cost
 from ..plan import ReadPlan, ReadRequest
-from ..pressure import Pressure
+from ..pressure import PredictedDemand
 from ..read_plan import plan_read
-from .builders import COSTS, archive, chatting, idle, reading, turn
+from .builders import (
+    COSTS,
+    generating_engines,
+    idle_engines,
+    long_request,
+    reading_engine,
+    short_request,
+)
 
 LARGEST = 700_000
 
 
-def planned(
+def plan_for(
     request: ReadRequest,
     candidates: list[Candidate],
 ) -> ReadPlan:
@@ -25,159 +32,165 @@
     return plan
 
 
-def naive_ms(request: ReadRequest) -> float:
+def unsplit_read_ms(request: ReadRequest) -> float:
     return COSTS.read_ms(request.prompt_tokens)
 
 
-def test_long_prompt_meets_its_objective_where_naive_does_not() -> None:
-    """A prompt of the mean length of the long kind comes to an idle fleet.
+def test_long_prompt_meets_its_objective_by_splitting() -> None:
+    """A long prompt of mean length arrives at an idle fleet.
 
-    One engine alone reads it in 3.05 s; its objective is 3 s.
+    One engine alone reads it in 3.05 s, and its objective is 3 s.
     """
-    request = archive()
-    assert naive_ms(request) > request.objective_ms
-    plan = planned(request, idle(18))
+    request = long_request()
+    assert unsplit_read_ms(request) > request.objective_ms
+    plan = plan_for(request, idle_engines(18))
     assert plan.helpers
-    part = plan.expected_ms / request.objective_ms
-    assert lateness(part, SAFE_FIRST_EVENT) == 0
+    used = plan.expected_ms / request.objective_ms
+    assert lateness_cost(used, SAFE_FIRST_EVENT_FRACTION) == 0
 
 
 @pytest.mark.parametrize('memory', [315_000, 267_750, 100_001])
-def test_prompt_beyond_one_engine_is_served(memory: int) -> None:
-    """A prompt does not fit into any one engine.
+def test_prompt_beyond_the_memory_of_one_engine_is_served(memory: int) -> None:
+    """A prompt exceeds the memory of every engine.
 
-    Whatever the engines' memory is, the plan stores all of it; by least
-    requests alone it would be refused, as if the fleet were full.
+    The plan has to place all of the prompt for any size of memory. With the
+    baseline, it would be refused as if the fleet were full.
     """
     costs = msgspec.structs.replace(COSTS, memory_tokens=memory)
-    request = archive(LARGEST)
-    plan = plan_read(request, idle(18), costs)
+    request = long_request(LARGEST)
+    plan = plan_read(request, idle_engines(18), costs)
     assert plan is not None
     stored = sum(tokens for _, tokens in plan.stored)
     assert stored + memory >= LARGEST + request.answer_tokens
 
 
-def test_no_prompt_is_stored_twice_the_memory_of_a_helper() -> None:
-    plan = planned(archive(LARGEST), idle(18))
+def test_no_helper_is_given_more_than_its_memory() -> None:
+    plan = plan_for(long_request(LARGEST), idle_engines(18))
     assert max(tokens for _, tokens in plan.stored) <= COSTS.memory_tokens
 
 
-def test_turn_is_read_alone_beside_others() -> None:
-    """Turns are gathered, so that engines stay free for long parts."""
-    plan = planned(turn(), [*idle(10), *chatting(1)])
+def test_short_requests_are_packed_and_not_split() -> None:
+    """Packing leaves other engines free for long parts."""
+    plan = plan_for(
+        short_request(), [*idle_engines(10), *generating_engines(1)]
+    )
     assert plan.home == 'e100'
     assert not plan.helpers
 
 
-def test_turn_does_not_wait_behind_a_long_prompt() -> None:
-    """All engines but a few read parts of long prompts.
+def test_short_request_does_not_wait_behind_a_long_prompt() -> None:
+    """All engines but two read parts of long prompts.
 
-    Behind such a part, a guest's turn would wait for a second or more.
+    Behind such a part, a short request would wait for a second or more.
     """
-    busy = [reading(number, 900) for number in range(10)]
-    plan = planned(turn(), [*busy, *chatting(2)])
+    busy = [reading_engine(number, 900) for number in range(10)]
+    plan = plan_for(short_request(), [*busy, *generating_engines(2)])
     assert plan.home in {'e100', 'e101'}
     assert plan.expected_ms < 300
 
 
-def test_turn_goes_ahead_where_all_engines_read() -> None:
-    """Every engine reads parts of long prompts, and a guest's turn comes.
+def test_short_request_is_split_if_all_engines_read() -> None:
+    """A short request arrives while every engine reads parts of long prompts.
 
-    Alone it would wait for a second behind them; in parts it goes ahead, and
-    the long prompts hardly notice.
+    Unsplit, it would wait behind them for a second. Its parts are read ahead
+    of them and hardly delay the long prompts.
     """
-    busy = [reading(number, 900) for number in range(6)]
-    plan = planned(turn(), busy)
+    busy = [reading_engine(number, 900) for number in range(6)]
+    plan = plan_for(short_request(), busy)
     assert plan.helpers
     assert plan.expected_ms < 300
 
 
 def test_long_part_keeps_away_from_streams() -> None:
-    """Half of the engines write short answers, the others are idle.
+    """Half of the engines generate short answers, and the others are idle.
 
-    Read among the streams, the prompt would stop each of them for longer
-    than guests were promised.
+    If the prompt were read by the engines with streams, each stream would
+    pause for longer than its objective allows.
     """
-    plan = planned(archive(300_000), [*chatting(9), *idle(9)])
+    plan = plan_for(
+        long_request(300_000), [*generating_engines(9), *idle_engines(9)]
+    )
     assert all(name in {f'e{one}' for one in range(9)} for name in plan.members)
 
 
-def test_small_parts_go_among_streams_where_nothing_is_idle() -> None:
-    """All engines write; a long prompt is read in parts that stop nobody."""
-    plan = planned(archive(100_000), chatting(18))
+def test_prompt_is_read_in_small_parts_if_no_engine_is_idle() -> None:
+    """All engines generate; small parts keep the pauses of streams short."""
+    plan = plan_for(long_request(100_000), generating_engines(18))
     streams_of_one_engine = 4
     assert plan.part_ms < 150
     assert plan.cost < streams_of_one_engine
 
 
-def test_second_long_prompt_does_not_delay_the_first_for_nothing() -> None:
-    """A long prompt is read on half of the engines when another one comes.
+def test_second_long_prompt_goes_to_idle_engines() -> None:
+    """A second long prompt arrives while half of the engines read the first.
 
-    Parts of the second go ahead of those of the first: on the same engines,
-    both would be late, while the others idle.
+    Parts of the second prompt go ahead of those of the first. On the same
+    engines, both prompts would be late while the other engines are idle.
     """
-    first = [reading(number, 1300, slack_ms=1400) for number in range(9)]
-    plan = planned(archive(200_000), [*first, *idle(9, first=50)])
+    first = [reading_engine(number, 1300, slack_ms=1400) for number in range(9)]
+    plan = plan_for(long_request(200_000), [*first, *idle_engines(9, first=50)])
     assert all(
         name in {f'e{one}' for one in range(50, 59)} for name in plan.members
     )
 
 
 def test_delay_of_one_prompt_counts_once() -> None:
-    """A huge prompt is read by all engines, and a tide briefing comes.
+    """A shorter prompt arrives while all engines read parts of a huge one.
 
-    To delay the huge one at two engines is no worse than at one of them.
+    A delay of the huge prompt at two engines costs no more than at one.
     """
-    everywhere = [reading(number, 1100, slack_ms=1400) for number in range(18)]
+    everywhere = [
+        reading_engine(number, 1100, slack_ms=1400) for number in range(18)
+    ]
     apart = [
-        reading(number, 1100, key=f'long-{number}', slack_ms=1400)
+        reading_engine(number, 1100, key=f'long-{number}', slack_ms=1400)
         for number in range(18)
     ]
-    request = archive(45_000, objective_ms=1500)
-    assert planned(request, everywhere).cost < planned(request, apart).cost
+    request = long_request(45_000, objective_ms=1500)
+    assert plan_for(request, everywhere).cost < plan_for(request, apart).cost
 
 
-def test_no_slot_is_free() -> None:
-    """All engines are full; there is no plan rather than a bad one."""
-    full = chatting(4, writers=COSTS.slots)
-    assert plan_read(turn(), full, COSTS) is None
+def test_no_plan_without_a_free_slot() -> None:
+    """All engines are full, so that no plan is returned."""
+    full = generating_engines(4, writers=COSTS.slots)
+    assert plan_read(short_request(), full, COSTS) is None
 
 
-def test_engine_that_failed_lately_is_avoided() -> None:
-    ill = Candidate('e1', idle(1)[0].load, penalty=3)
-    plan = planned(turn(), [ill, *idle(1, first=2)])
+def test_engine_that_failed_recently_is_avoided() -> None:
+    failed = Candidate('e1', idle_engines(1)[0].load, penalty=3)
+    plan = plan_for(short_request(), [failed, *idle_engines(1, first=2)])
     assert plan.home == 'e2'
 
 
 def test_huge_prompt_leaves_engines_to_turns_that_are_about_to_come() -> None:
-    """Half a million tokens come while guests send 25 turns a second.
+    """A prompt of 522,000 tokens competes with 25 short requests per second.
 
-    Read by nearly all engines at once, it would be done in two seconds, and
-    the fifty turns of these seconds would find no place.
+    If nearly all engines read it at once, it would take two seconds, and the
+    fifty short requests of these seconds would find no slot.
     """
-    fleet = [*chatting(6, writers=3), *idle(12)]
-    request = archive(522_000)
-    calm = planned(request, fleet)
-    rushed = plan_read(
+    fleet = [*generating_engines(6, writers=3), *idle_engines(12)]
+    request = long_request(522_000)
+    quiet = plan_for(request, fleet)
+    loaded = plan_read(
         request,
         fleet,
         COSTS,
-        Pressure(turns_per_s=25, stay_seconds=1.7),
+        PredictedDemand(turns_per_s=25, slot_seconds=1.7),
     )
-    assert rushed is not None
-    assert len(rushed.members) < len(calm.members)
+    assert loaded is not None
+    assert len(loaded.members) < len(quiet.members)
 
 
 def test_late_prompt_is_read_before_its_caller_leaves() -> None:
-    """An engine fell silent with a prompt whose objective then passed.
+    """A prompt is read again after an engine fell silent and it is late.
 
-    It is read anew. If lateness were all that counts, any number of engines
-    would do; a few would read it for longer than its caller waits, who has
-    no answer in the end.
+    If only its lateness counted, any number of engines would cost the same. A
+    few engines could read it for longer than its caller waits, and the caller
+    would get no answer.
     """
     request = msgspec.structs.replace(
-        archive(LARGEST, objective_ms=-2000),
+        long_request(LARGEST, objective_ms=-2000),
         limit_ms=8000,
     )
-    plan = planned(request, [*idle(16), *chatting(6)])
+    plan = plan_for(request, [*idle_engines(16), *generating_engines(6)])
     assert plan.expected_ms < request.limit_ms / 2
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_worth.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_worth.py
@@ -1,16 +1,16 @@
-"""Huge prompts that come while short turns fill the engines."""
+"""Huge prompts that arrive while short requests occupy the engines."""
 
 import msgspec
 
 from ..plan import ReadPlan, ReadRequest
-from ..pressure import Pressure
+from ..pressure import PredictedDemand
 from ..read_plan import plan_read
 from ..worth import is_worth_reading
-from .builders import COSTS, archive, chatting, idle
+from .builders import COSTS, generating_engines, idle_engines, long_request
 
-HUGE = archive(900_000)
-BURST = Pressure(turns_per_s=40, stay_seconds=2)
-CALM = Pressure(turns_per_s=10, stay_seconds=1.7)
+HUGE = long_request(900_000)
+BURST_DEMAND = PredictedDemand(turns_per_s=40, slot_seconds=2)
+USUAL_DEMAND = PredictedDemand(turns_per_s=10, slot_seconds=1.7)
 
 
 def is_read(
@@ -22,46 +22,51 @@
     return is_worth_reading(plan, request, read_ms)
 
 
-def test_huge_prompt_comes_back_after_a_burst() -> None:
-    """Turns come at two and a half times their rate, and an archive comes.
+def test_huge_prompt_is_refused_during_a_burst() -> None:
+    """A huge prompt arrives while short requests come at 2.5 times their rate.
 
-    Spread over all engines it is late all the same, some hundred answers
-    pause for seconds, and their callers leave and ask again.
+    Spread over all engines, the prompt would be late nevertheless. About a
+    hundred answers would pause for seconds, and their callers would leave and
+    retry.
     """
-    plan = plan_read(HUGE, chatting(13, writers=7), COSTS, BURST)
+    plan = plan_read(
+        HUGE, generating_engines(13, writers=7), COSTS, BURST_DEMAND
+    )
     assert not is_read(HUGE, plan)
 
 
-def test_huge_prompt_is_read_where_engines_idle() -> None:
-    """The same archive comes in a calm minute: nobody else is harmed."""
-    fleet = [*idle(14), *chatting(4)]
-    assert is_read(HUGE, plan_read(HUGE, fleet, COSTS, CALM))
+def test_huge_prompt_is_read_by_idle_engines() -> None:
+    """At the usual rate, the same prompt delays no other request."""
+    fleet = [*idle_engines(14), *generating_engines(4)]
+    assert is_read(HUGE, plan_read(HUGE, fleet, COSTS, USUAL_DEMAND))
 
 
-def test_long_prompts_of_every_day_are_read() -> None:
-    """A mean archive comes beside turns at their usual rate."""
-    request = archive(154_000)
-    fleet = [*idle(10), *chatting(6)]
-    assert is_read(request, plan_read(request, fleet, COSTS, CALM))
+def test_long_prompt_of_mean_length_is_read() -> None:
+    """Short requests arrive at their usual rate meanwhile."""
+    request = long_request(154_000)
+    fleet = [*idle_engines(10), *generating_engines(6)]
+    assert is_read(request, plan_read(request, fleet, COSTS, USUAL_DEMAND))
 
 
-def test_short_report_is_read_though_its_caller_comes_late() -> None:
-    """A caller comes back after an outage; its objective has passed.
+def test_report_past_its_objective_is_read() -> None:
+    """A caller comes back after an outage, past its objective.
 
-    Weighed like an archive, every report would be sent away for good as all
-    callers come back at once.
+    If reports were weighed like huge prompts, all of them would be refused
+    for good, as all callers come back at once.
     """
-    request = archive(40_000, objective_ms=-2000)
-    plan = plan_read(request, chatting(13, writers=6), COSTS, BURST)
+    request = long_request(40_000, objective_ms=-2000)
+    plan = plan_read(
+        request, generating_engines(13, writers=6), COSTS, BURST_DEMAND
+    )
     assert is_read(request, plan)
 
 
-def test_prompt_whose_caller_leaves_before_it_is_read_is_refused() -> None:
-    """An archive comes back with little of its caller's time left.
+def test_prompt_that_outlasts_its_caller_is_refused() -> None:
+    """A huge prompt comes back with little of its caller's time left.
 
-    Read all the same, it keeps engines busy for seconds, and its caller has
-    left before the first event.
+    If it were read, it would occupy engines for seconds, and its caller would
+    have left before the first event.
     """
     request = msgspec.structs.replace(HUGE, objective_ms=-3000, limit_ms=2500)
-    fleet = [*idle(14), *chatting(4)]
-    assert not is_read(request, plan_read(request, fleet, COSTS, CALM))
+    fleet = [*idle_engines(14), *generating_engines(4)]
+    assert not is_read(request, plan_read(request, fleet, COSTS, USUAL_DEMAND))
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/worth.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/worth.py
@@ -1,26 +1,28 @@
-"""Whether a long prompt is read now, or its caller comes back later.
-
-Load pattern: a prompt of several hundred thousand tokens comes while short
-turns fill most engines. Reading it takes a minute of engine time, however it
-is divided; wherever it is read, streams pause and turns find no slot.
-
-Without it: the prompt is spread over all engines at once, as this breaks the
-fewest promises of all ways to read it. It is late all the same, every answer
-beside it pauses for seconds, their callers leave and ask again, and the fleet
-needs ten seconds to recover.
-
-A prompt is read if that is worth more to its caller than what it takes from
-the others; both are counted in promises to short turns, as plans count them.
-One whose reading alone takes longer than its caller waits is worth nothing.
-A caller that is sent away comes back once the load may have changed.
+"""Whether a long prompt is read now, or its caller is asked to come back.
+
+Load pattern: a prompt of several hundred thousand tokens arrives while short
+requests occupy most engines. Reading the prompt takes a minute of engine time,
+however it is divided. Wherever it is read, streams pause and short requests
+find no slot.
+
+Without this, the prompt is spread over all engines at once, since this misses
+the fewest objectives of all ways to read it. The prompt is late nevertheless,
+and every answer on the engines pauses for seconds. The callers of these
+answers leave and retry, and the fleet needs ten seconds to recover.
+
+A prompt is read if its value for its caller is at least its interference with
+other requests. Both are counted in objectives of short requests, as in plans.
+A prompt whose reading alone takes longer than its caller waits has no value.
+A caller that is turned away comes back when the load may have changed.
 """
 
 from .plan import ReadPlan, ReadRequest
-from .read_plan import LATE_PART
+from .read_plan import LATE_VALUE_FRACTION
 
 #: Reading time up to which a prompt is always read, in milliseconds. Shorter
-#: ones harm about as many as they serve, and to weigh them against callers who
-#: are late already sends away whoever comes back after an outage.
+#: prompts delay about as many requests as they serve. If they were weighed
+#: against callers who are late already, all callers that come back after an
+#: outage would be turned away.
 _ALWAYS_READ_MS = 500.0
 
 
@@ -29,12 +31,13 @@
     request: ReadRequest,
     read_ms: float,
 ) -> bool:
-    """Return whether a prompt is worth what its reading does to others.
+    """Return whether the value of a prompt covers its interference.
 
     Parameters
     ----------
     read_ms
-        Time that one engine would need to read it alone.
+        Time that one engine would need to read the prompt alone, in
+        milliseconds.
 
     Examples
     --------
@@ -53,5 +56,5 @@
     if plan.part_ms >= request.limit_ms:
         return False
     is_late = plan.expected_ms > request.objective_ms
-    worth = request.weight * LATE_PART if is_late else request.weight
-    return plan.harm <= worth
+    value = request.weight * LATE_VALUE_FRACTION if is_late else request.weight
+    return plan.harm <= value
