--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/overdue.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/overdue.py
@@ -5,9 +5,10 @@
 prompts are delayed by parts of later prompts, as far as their objectives
 allow.
 
-Without this, a report that was expected within a tenth of a second waits for
-nearly half of its caller's time before another engine is tried. Most prompts
-that are late are only queued behind others and would be no sooner elsewhere.
+Without this, a prompt whose answer was expected within a tenth of a second
+waits for nearly half of its caller's time before another engine is tried. Most
+prompts that are late are only queued behind others and would be no sooner
+elsewhere.
 
 Parts that were sent later are reported within milliseconds. If they explain
 the delay, the prompt stays at its engines. Otherwise it can still be read
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_overdue.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_overdue.py
@@ -9,25 +9,25 @@
 from ..overdue import is_overdue
 from .builders import COSTS
 
-REPORT = RequestId('report-0')
+REQUEST = RequestId('report-0')
 ENGINES = (EndpointId('e1'), EndpointId('e2'))
 READ_MS = 300
 
 
 def registry_after_sending(*, is_ahead: bool = True) -> LoadBook:
-    """Return the registry of an entry that sent a report at second 10."""
+    """Return the registry of an entry that sent a prompt at second 10."""
     registry = LoadBook()
     parts = {
         engine: Assignment(read_ms=READ_MS, is_ahead=is_ahead)
         for engine in ENGINES
     }
-    registry.begin(REPORT, parts, now=10)
+    registry.begin(REQUEST, parts, now=10)
     return registry
 
 
 @pytest.mark.parametrize('is_ahead', [True, False])
 @pytest.mark.parametrize(('now', 'expected'), [(10.1, False), (10.8, True)])
-def test_report_at_a_silent_engine_becomes_overdue(
+def test_prompt_at_a_silent_engine_becomes_overdue(
     now: float,
     *,
     expected: bool,
@@ -35,18 +35,18 @@
 ) -> None:
     """The engines have no other work, and no answer arrives."""
     registry = registry_after_sending(is_ahead=is_ahead)
-    assert is_overdue(REPORT, ENGINES, registry, COSTS, now) is expected
+    assert is_overdue(REQUEST, ENGINES, registry, COSTS, now) is expected
 
 
 @pytest.mark.parametrize('engine', ENGINES)
 def test_later_part_of_a_peer_explains_the_delay(engine: EndpointId) -> None:
     """Another entry places a part of two seconds on one of the engines.
 
-    If the engine were considered faulty, the report would be read twice.
+    If the engine were considered faulty, the prompt would be read twice.
     """
     registry = registry_after_sending()
     part = Unread('archive-', 40, 2000, 0, 4000, is_ahead=True)
     share = EngineShare(engine, EngineLoad(unread=(part,)))
     registry.hear(PeerId('p'), (share,), 10.1, is_whole=False)
-    assert not is_overdue(REPORT, ENGINES, registry, COSTS, 10.8)
-    assert is_overdue(REPORT, ENGINES, registry, COSTS, 13)
+    assert not is_overdue(REQUEST, ENGINES, registry, COSTS, 10.8)
+    assert is_overdue(REQUEST, ENGINES, registry, COSTS, 13)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_worth.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_worth.py
@@ -48,11 +48,11 @@
     assert is_read(request, plan_read(request, fleet, COSTS, USUAL_DEMAND))
 
 
-def test_report_past_its_objective_is_read() -> None:
+def test_shorter_prompt_past_its_objective_is_read() -> None:
     """A caller comes back after an outage, past its objective.
 
-    If reports were weighed like huge prompts, all of them would be refused
-    for good, as all callers come back at once.
+    If shorter prompts were weighed like huge ones, all of them would be
+    refused for good, as all callers come back at once.
     """
     request = long_request(40_000, objective_ms=-2000)
     plan = plan_read(
