--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_limits.py
@@ -1,4 +1,4 @@
-"""Entries that send to endpoints which name a rate, in virtual time."""
+"""Simulation, in virtual time, of entries that share rate limits."""
 
 import abc
 import math
@@ -11,52 +11,56 @@
 from ....routing import EndpointLifetime
 from ..rate_limits import RateLimits
 
-#: Time until an entry hears what another has sent, in seconds.
-LAG_SECONDS = 0.03
+#: Time until an entry receives another one's report of its sends, in seconds.
+REPORT_DELAY_SECONDS = 0.03
 
 
 class LimitedLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests to endpoints that all name one rate.
+    """Requests to endpoints that all request the same rate limit.
 
     Attributes
     ----------
+    rate
+        Limit of each endpoint, in requests per second.
     arrivals_per_s
-        Requests that reach all entries together.
-    favourite
-        Part of the requests that come to the first entry.
+        Requests that arrive at all entries together, per second.
+    first_entry_share
+        Fraction of the requests that always arrive at the first entry.
+    seconds
+        Length of the simulation.
     """
 
     entries: int
     endpoints: int = 1
     rate: float = 1.2
     arrivals_per_s: float = 20
-    favourite: float = 0
+    first_entry_share: float = 0
     seconds: float = 60
 
 
 class LimitPolicy(abc.ABC):
-    """How the entries of a fleet keep to a rate together."""
+    """A way in which the entries of a fleet observe a rate limit."""
 
     def __init__(self, load: LimitedLoad) -> None:
         self.load = load
 
     @abc.abstractmethod
     def may_send(self, entry: int, endpoint: int, now: float) -> bool:
-        """Return whether an entry may send, and note it if so."""
+        """Return whether an entry may send, and record the send if so."""
 
-    def tell(self, now: float) -> None:
-        """Pass on what entries tell one another."""
+    def deliver_reports(self, now: float) -> None:
+        """Deliver the reports that have reached the entries by now."""
 
 
 class NoLimit(LimitPolicy):
-    """Sends whatever comes."""
+    """Sends all requests."""
 
     def may_send(self, entry: int, endpoint: int, now: float) -> bool:
         return True
 
 
-class EqualParts(LimitPolicy):
-    """Gives each entry the same part of the rate."""
+class EqualShares(LimitPolicy):
+    """Gives each entry an equal share of the rate."""
 
     def __init__(self, load: LimitedLoad) -> None:
         super().__init__(load)
@@ -70,135 +74,137 @@
         return True
 
 
-class OneSpeaker(LimitPolicy):
-    """Lets one entry send to each endpoint."""
+class SingleSender(LimitPolicy):
+    """Lets only one entry send to each endpoint."""
 
     def __init__(self, load: LimitedLoad) -> None:
         super().__init__(load)
         self.next_at: dict[int, float] = defaultdict(float)
 
     def may_send(self, entry: int, endpoint: int, now: float) -> bool:
-        is_speaker = entry == endpoint % self.load.entries
-        if not is_speaker or now < self.next_at[endpoint]:
+        is_sender = entry == endpoint % self.load.entries
+        if not is_sender or now < self.next_at[endpoint]:
             return False
         self.next_at[endpoint] = now + 1 / self.load.rate
         return True
 
 
 class SharedWindow(LimitPolicy):
-    """Adds up what all have sent, as each entry knows it."""
+    """Lets each entry send by the sum of the sends that it knows of."""
 
     def __init__(self, load: LimitedLoad) -> None:
         super().__init__(load)
-        self.books = [
+        self.limits = [
             RateLimits(EntryId(str(entry))) for entry in range(load.entries)
         ]
-        for book in self.books:
-            book.entries = load.entries
+        for limits in self.limits:
+            limits.entries = load.entries
             for endpoint in range(load.endpoints):
-                book.said(lifetime(endpoint), load.rate, 0)
-        self.on_the_way: deque[tuple[float, int, int]] = deque()
+                limits.said(lifetime(endpoint), load.rate, 0)
+        self.in_flight: deque[tuple[float, int, int]] = deque()
 
     def may_send(self, entry: int, endpoint: int, now: float) -> bool:
-        book = self.books[entry]
-        book.said(lifetime(endpoint), self.load.rate, now)
-        if not book.has_room(lifetime(endpoint), now):
+        limits = self.limits[entry]
+        limits.said(lifetime(endpoint), self.load.rate, now)
+        if not limits.has_room(lifetime(endpoint), now):
             return False
-        book.sent(lifetime(endpoint), now)
-        self.on_the_way.append((now + LAG_SECONDS, entry, endpoint))
+        limits.sent(lifetime(endpoint), now)
+        self.in_flight.append((now + REPORT_DELAY_SECONDS, entry, endpoint))
         return True
 
-    def tell(self, now: float) -> None:
-        while self.on_the_way and self.on_the_way[0][0] <= now:
-            at, entry, endpoint = self.on_the_way.popleft()
+    def deliver_reports(self, now: float) -> None:
+        while self.in_flight and self.in_flight[0][0] <= now:
+            at, entry, endpoint = self.in_flight.popleft()
             names = {EndpointId(str(endpoint))}
-            reports = self.books[entry].reports(names, at)
-            for other, book in enumerate(self.books):
+            reports = self.limits[entry].reports(names, at)
+            for other, limits in enumerate(self.limits):
                 if other != entry:
-                    book.hear(PeerId(str(entry)), reports, at)
+                    limits.hear(PeerId(str(entry)), reports, at)
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a play showed.
+    """Result of a simulation.
 
     Attributes
     ----------
-    most_in_window
-        Requests that one endpoint got in some four seconds.
-    used
-        Part of the rate of all endpoints that was used.
-    least_served
-        Served part of the requests at the entry where it was least, against
-        that of all.
+    max_in_window
+        Largest number of requests at one endpoint within four seconds.
+    utilization
+        Fraction of the rate of all endpoints that was used.
+    min_served_share
+        Smallest served fraction of the requests at one entry, relative to the
+        served fraction of all requests.
     """
 
-    most_in_window: int
-    used: float
-    least_served: float
+    max_in_window: int
+    utilization: float
+    min_served_share: float
 
 
-class Draws:
-    """Numbers that depend on a seed alone."""
+class SeededRandom:
+    """Random numbers that depend only on a seed."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
         self._drawn = 0
 
-    def part(self) -> float:
+    def fraction(self) -> float:
         """Return a number from 0 to 1."""
         self._drawn += 1
         return stable_part(f'{self.seed} {self._drawn}')
 
-    def gap(self, per_second: float) -> float:
-        """Return the time until the next of independent arrivals."""
-        return -math.log(1 - self.part()) / per_second
+    def interarrival_seconds(self, per_second: float) -> float:
+        """Return the time until the next independent arrival, in seconds."""
+        return -math.log(1 - self.fraction()) / per_second
 
 
 def lifetime(endpoint: int) -> EndpointLifetime:
     return EndpointLifetime(EndpointId(str(endpoint)), 5)
 
 
-def play(policy: LimitPolicy, seed: int) -> Outcome:
-    """Play a load against a policy."""
+def simulate(policy: LimitPolicy, seed: int) -> Outcome:
+    """Simulate a load under a policy."""
     load = policy.load
-    drawn = Draws(seed)
-    sends: list[list[float]] = [[] for _ in range(load.endpoints)]
-    asked = [0 for _ in range(load.entries)]
+    generator = SeededRandom(seed)
+    send_times: list[list[float]] = [[] for _ in range(load.endpoints)]
+    arrived = [0 for _ in range(load.entries)]
     served = [0 for _ in range(load.entries)]
-    now = drawn.gap(load.arrivals_per_s)
+    now = generator.interarrival_seconds(load.arrivals_per_s)
     while now < load.seconds:
-        policy.tell(now)
-        entry = int(drawn.part() * load.entries)
-        if drawn.part() < load.favourite:
+        policy.deliver_reports(now)
+        entry = int(generator.fraction() * load.entries)
+        if generator.fraction() < load.first_entry_share:
             entry = 0
-        asked[entry] += 1
-        chosen = _first_open(policy, entry, now)
-        if chosen is not None:
-            sends[chosen].append(now)
+        arrived[entry] += 1
+        endpoint = _choose_endpoint(policy, entry, now)
+        if endpoint is not None:
+            send_times[endpoint].append(now)
             served[entry] += 1
-        now += drawn.gap(load.arrivals_per_s)
+        now += generator.interarrival_seconds(load.arrivals_per_s)
     capacity = load.rate * load.endpoints * load.seconds
-    shares = [got / max(1, came) for got, came in zip(served, asked)]
+    shares = [
+        accepted / max(1, total) for accepted, total in zip(served, arrived)
+    ]
     return Outcome(
-        most_in_window=max(most_within(times, 4) for times in sends),
-        used=sum(served) / capacity,
-        least_served=min(shares) * sum(asked) / max(1, sum(served)),
+        max_in_window=max(max_within(times, 4) for times in send_times),
+        utilization=sum(served) / capacity,
+        min_served_share=min(shares) * sum(arrived) / max(1, sum(served)),
     )
 
 
-def most_within(times: list[float], seconds: float) -> int:
-    """Return the most of some sorted times that lie within a span."""
+def max_within(times: list[float], seconds: float) -> int:
+    """Return the largest number of sorted times within a time window."""
     window: deque[float] = deque()
-    most = 0
+    highest = 0
     for at in times:
         window.append(at)
         while window[0] <= at - seconds:
             window.popleft()
-        most = max(most, len(window))
-    return most
+        highest = max(highest, len(window))
+    return highest
 
 
-def _first_open(policy: LimitPolicy, entry: int, now: float) -> int | None:
+def _choose_endpoint(policy: LimitPolicy, entry: int, now: float) -> int | None:
     for endpoint in range(policy.load.endpoints):
         if policy.may_send(entry, endpoint, now):
             return endpoint
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_rests.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_rests.py
@@ -1,4 +1,4 @@
-"""Entries before endpoints that ask for rest, in virtual time."""
+"""Simulation, in virtual time, of endpoints that request backoffs."""
 
 import abc
 import heapq
@@ -8,247 +8,289 @@
 import msgspec
 
 from ..asked_rests import AskedRests
-from .builders_limits import Draws, lifetime, most_within
+from .builders_limits import SeededRandom, lifetime, max_within
 
-#: Endpoints that one request is sent to at most.
-MOST_ATTEMPTS = 3
-#: Time for what was on its way when an endpoint asked for rest, in seconds.
+#: Upper bound of the endpoints to which one request is sent.
+MAX_ATTEMPTS = 3
+#: Time after the request of a backoff in which sends do not count, because they
+#: were already in flight, in seconds.
 GRACE_SECONDS = 0.5
-#: Requests that may arrive within a rest beyond it.
-MOST_WITHIN_REST = 2
-#: Time until an entry knows that a request was turned away, in seconds.
-VERDICT_SECONDS = 0.01
-#: Span after a rest in which callers come together, in seconds.
-CROWD_SECONDS = 0.2
+#: Requests that may arrive within a backoff after that time.
+MAX_WITHIN_BACKOFF = 2
+#: Time until an entry receives a refusal, in seconds.
+REFUSAL_DELAY_SECONDS = 0.01
+#: Window in which refusals count as simultaneous, in seconds.
+BURST_SECONDS = 0.2
 
 
-class RestLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests to endpoints that refuse what they have no slot for.
+class BackoffLoad(msgspec.Struct, frozen=True, kw_only=True):
+    """Requests to endpoints that refuse requests without a free slot.
 
     Attributes
     ----------
-    shedding
-        Endpoints that take nothing for the first part of the play, and its
-        length in seconds.
-    stay
-        For how long a request holds its slot, in seconds.
-    bunch
-        Callers that come to an entry at one moment.
+    slots
+        Requests that an endpoint runs at the same time.
+    slot_seconds
+        Time for which a request occupies a slot.
+    arrivals_per_s
+        Requests that arrive at all entries together, per second.
+    burst_size
+        Requests that arrive at one entry at the same moment.
+    backoff_seconds
+        Length of each requested backoff.
+    overloaded
+        Number of endpoints that accept nothing at first.
+    overload_seconds
+        Time for which these endpoints accept nothing.
+    seconds
+        Length of the simulation.
     """
 
     entries: int = 5
     endpoints: int = 18
     slots: int = 8
-    stay: float = 1.2
+    slot_seconds: float = 1.2
     arrivals_per_s: float = 60
-    bunch: int = 1
-    rest: float = 3
-    shedding: int = 0
-    shedding_seconds: float = 20
+    burst_size: int = 1
+    backoff_seconds: float = 3
+    overloaded: int = 0
+    overload_seconds: float = 20
     seconds: float = 40
 
 
-class RestPolicy(abc.ABC):
-    """What the entries of a fleet make of the rests they are asked for."""
+class BackoffPolicy(abc.ABC):
+    """A way in which the entries of a fleet handle requested backoffs."""
 
-    def __init__(self, load: RestLoad) -> None:
+    def __init__(self, load: BackoffLoad) -> None:
         self.load = load
 
     @abc.abstractmethod
-    def takes(self, entry: int, endpoint: int, now: float) -> bool:
-        """Return whether an entry would send to an endpoint."""
+    def accepts(self, entry: int, endpoint: int, now: float) -> bool:
+        """Return whether an entry may send to an endpoint."""
 
-    def sent(self, entry: int, endpoint: int, now: float) -> None:
-        """Note that an entry sends a request."""
+    def record_send(self, entry: int, endpoint: int, now: float) -> None:
+        """Record that an entry sends a request."""
 
-    def refused(self, entry: int, endpoint: int, now: float) -> None:
-        """Note that an endpoint asks an entry for rest."""
+    def record_refusal(self, entry: int, endpoint: int, now: float) -> None:
+        """Record that an endpoint requests a backoff from an entry."""
 
-    def accepted(self, entry: int, endpoint: int) -> None:
-        """Note that an endpoint took a request."""
+    def record_acceptance(self, entry: int, endpoint: int) -> None:
+        """Record that an endpoint accepted a request."""
 
 
-class NoRest(RestPolicy):
-    """Sends whatever comes."""
+class NoBackoff(BackoffPolicy):
+    """Ignores the requested backoffs."""
 
-    def takes(self, entry: int, endpoint: int, now: float) -> bool:
+    def accepts(self, entry: int, endpoint: int, now: float) -> bool:
         return True
 
 
-class AllAtTheEnd(RestPolicy):
-    """Keeps to each rest, and sends all that waits once it is over."""
+class AllAfterBackoff(BackoffPolicy):
+    """Observes each backoff and sends all waiting requests after it."""
 
-    def __init__(self, load: RestLoad) -> None:
+    def __init__(self, load: BackoffLoad) -> None:
         super().__init__(load)
         self.until: dict[tuple[int, int], float] = defaultdict(float)
 
-    def takes(self, entry: int, endpoint: int, now: float) -> bool:
+    def accepts(self, entry: int, endpoint: int, now: float) -> bool:
         return now >= self.until[entry, endpoint]
 
-    def refused(self, entry: int, endpoint: int, now: float) -> None:
-        self.until[entry, endpoint] = now + self.load.rest
+    def record_refusal(self, entry: int, endpoint: int, now: float) -> None:
+        self.until[entry, endpoint] = now + self.load.backoff_seconds
 
 
-class OneFirst(RestPolicy):
-    """Keeps to each rest, and sends one request first after it."""
+class ProbeFirst(BackoffPolicy):
+    """Observes each backoff and sends one probe after it."""
 
-    def __init__(self, load: RestLoad) -> None:
+    def __init__(self, load: BackoffLoad) -> None:
         super().__init__(load)
-        self.books = [AskedRests() for _ in range(load.entries)]
+        self.backoffs = [AskedRests() for _ in range(load.entries)]
 
-    def takes(self, entry: int, endpoint: int, now: float) -> bool:
-        return self.books[entry].takes(lifetime(endpoint), now)
+    def accepts(self, entry: int, endpoint: int, now: float) -> bool:
+        return self.backoffs[entry].takes(lifetime(endpoint), now)
 
-    def sent(self, entry: int, endpoint: int, now: float) -> None:
-        self.books[entry].sent(lifetime(endpoint), now)
+    def record_send(self, entry: int, endpoint: int, now: float) -> None:
+        self.backoffs[entry].sent(lifetime(endpoint), now)
 
-    def refused(self, entry: int, endpoint: int, now: float) -> None:
-        self.books[entry].said(lifetime(endpoint), self.load.rest, now)
+    def record_refusal(self, entry: int, endpoint: int, now: float) -> None:
+        self.backoffs[entry].said(
+            lifetime(endpoint), self.load.backoff_seconds, now
+        )
 
-    def accepted(self, entry: int, endpoint: int) -> None:
-        self.books[entry].accepted(lifetime(endpoint))
+    def record_acceptance(self, entry: int, endpoint: int) -> None:
+        self.backoffs[entry].accepted(lifetime(endpoint))
 
 
-class ToldToPeers(OneFirst):
-    """Keeps to each rest in all entries, whichever was asked."""
+class SharedWithPeers(ProbeFirst):
+    """Applies the backoff of one entry to all entries."""
 
-    def __init__(self, load: RestLoad) -> None:
+    def __init__(self, load: BackoffLoad) -> None:
         super().__init__(load)
         shared = AskedRests()
-        self.books = [shared for _ in range(load.entries)]
+        self.backoffs = [shared for _ in range(load.entries)]
 
 
-class RestOutcome(msgspec.Struct, frozen=True):
-    """What a play showed.
+class BackoffOutcome(msgspec.Struct, frozen=True):
+    """Result of a simulation.
 
     Attributes
     ----------
     served
-        Part of the requests that an endpoint took.
-    turned_away
-        Attempts that an endpoint refused, for each request.
-    most_in_rest
-        Requests that one entry sent to one endpoint within a rest.
-    most_refused_at_once
-        Refusals of one endpoint within `CROWD_SECONDS`.
+        Fraction of the requests that an endpoint accepted.
+    refusals_per_request
+        Refused attempts divided by the number of requests.
+    max_in_backoff
+        Largest number of requests that one entry sent to one endpoint within
+        a backoff.
+    max_simultaneous_refusals
+        Largest number of refusals by one endpoint within `BURST_SECONDS`.
     """
 
     served: float
-    turned_away: float
-    most_in_rest: int
-    most_refused_at_once: int
+    refusals_per_request: float
+    max_in_backoff: int
+    max_simultaneous_refusals: int
+
 
+class BackoffSimulation:
+    """Simulation of a load under a policy.
 
-class RestPlay:
-    """A load against a policy."""
+    Attributes
+    ----------
+    running
+        End times of the running requests, by endpoint.
+    in_progress
+        End times of the attempts, by entry and endpoint.
+    in_flight
+        Refusals that have not reached their entry yet.
+    refusals
+        Times of the refusals, by endpoint.
+    requested_at
+        Times of the requested backoffs, by entry and endpoint.
+    arrivals
+        Times of the sent requests, by entry and endpoint.
+    """
 
-    def __init__(self, policy: RestPolicy) -> None:
+    def __init__(self, policy: BackoffPolicy) -> None:
         self.policy = policy
         self.load = policy.load
         self.running: dict[int, list[float]] = defaultdict(list)
-        self.own: dict[tuple[int, int], list[float]] = defaultdict(list)
-        self.on_the_way: deque[tuple[float, int, int]] = deque()
+        self.in_progress: dict[tuple[int, int], list[float]] = defaultdict(list)
+        self.in_flight: deque[tuple[float, int, int]] = deque()
         self.refusals: dict[int, list[float]] = defaultdict(list)
-        self.asked_at: dict[tuple[int, int], list[float]] = defaultdict(list)
+        self.requested_at: dict[tuple[int, int], list[float]] = defaultdict(
+            list
+        )
         self.arrivals: dict[tuple[int, int], list[float]] = defaultdict(list)
 
-    def run(self, seed: int) -> RestOutcome:
-        """Play the load."""
-        drawn = Draws(seed)
-        asked = 0
+    def run(self, seed: int) -> BackoffOutcome:
+        """Run the simulation."""
+        generator = SeededRandom(seed)
+        arrived = 0
         served = 0
-        bunches_per_s = self.load.arrivals_per_s / self.load.bunch
-        now = drawn.gap(bunches_per_s)
+        bursts_per_s = self.load.arrivals_per_s / self.load.burst_size
+        now = generator.interarrival_seconds(bursts_per_s)
         while now < self.load.seconds:
-            self._hear(now)
-            entry = int(drawn.part() * self.load.entries)
-            for _ in range(self.load.bunch):
-                asked += 1
+            self._deliver_refusals(now)
+            entry = int(generator.fraction() * self.load.entries)
+            for _ in range(self.load.burst_size):
+                arrived += 1
                 served += self._serve(entry, now)
-            now += drawn.gap(bunches_per_s)
+            now += generator.interarrival_seconds(bursts_per_s)
         refusals = list(self.refusals.values())
-        return RestOutcome(
-            served=served / asked,
-            turned_away=sum(map(len, refusals)) / asked,
-            most_in_rest=max(map(self._most_in_rest, self.arrivals)),
-            most_refused_at_once=max(
-                (most_within(times, CROWD_SECONDS) for times in refusals),
+        return BackoffOutcome(
+            served=served / arrived,
+            refusals_per_request=sum(map(len, refusals)) / arrived,
+            max_in_backoff=max(map(self._max_in_backoff, self.arrivals)),
+            max_simultaneous_refusals=max(
+                (max_within(times, BURST_SECONDS) for times in refusals),
                 default=0,
             ),
         )
 
-    def _hear(self, now: float) -> None:
-        """Let entries know what was turned away long enough ago."""
-        while self.on_the_way and self.on_the_way[0][0] <= now:
-            heard_at, entry, endpoint = self.on_the_way.popleft()
-            self.policy.refused(entry, endpoint, heard_at)
+    def _deliver_refusals(self, now: float) -> None:
+        """Deliver the refusals that have reached their entry by now."""
+        while self.in_flight and self.in_flight[0][0] <= now:
+            delivered_at, entry, endpoint = self.in_flight.popleft()
+            self.policy.record_refusal(entry, endpoint, delivered_at)
 
     def _serve(self, entry: int, now: float) -> bool:
-        """Send one request; return whether an endpoint took it."""
-        tried: set[int] = set()
-        while len(tried) < MOST_ATTEMPTS:
-            endpoint = self._choose(entry, tried, now)
+        """Send one request; return whether an endpoint accepted it."""
+        attempted: set[int] = set()
+        while len(attempted) < MAX_ATTEMPTS:
+            endpoint = self._choose(entry, attempted, now)
             if endpoint is None:
                 return False
             if self._send(entry, endpoint, now):
                 return True
-            tried.add(endpoint)
+            attempted.add(endpoint)
         return False
 
     def _choose(
         self,
         entry: int,
-        tried: Container[int],
+        attempted: Container[int],
         now: float,
     ) -> int | None:
-        """Return the endpoint with the least work of this entry."""
-        open_now = [
+        """Return the endpoint with the fewest requests of this entry."""
+        accepting = [
             endpoint
             for endpoint in range(self.load.endpoints)
-            if endpoint not in tried and self.policy.takes(entry, endpoint, now)
+            if endpoint not in attempted
+            and self.policy.accepts(entry, endpoint, now)
         ]
         return min(
-            open_now,
-            key=lambda endpoint: _busy(self.own[entry, endpoint], now),
+            accepting,
+            key=lambda endpoint: _count_running(
+                self.in_progress[entry, endpoint], now
+            ),
             default=None,
         )
 
     def _send(self, entry: int, endpoint: int, now: float) -> bool:
-        self.policy.sent(entry, endpoint, now)
+        self.policy.record_send(entry, endpoint, now)
         self.arrivals[entry, endpoint].append(now)
         if self._is_full(endpoint, now):
             self.refusals[endpoint].append(now)
-            self.asked_at[entry, endpoint].append(now)
-            heapq.heappush(self.own[entry, endpoint], now + VERDICT_SECONDS)
-            self.on_the_way.append((now + VERDICT_SECONDS, entry, endpoint))
+            self.requested_at[entry, endpoint].append(now)
+            heapq.heappush(
+                self.in_progress[entry, endpoint], now + REFUSAL_DELAY_SECONDS
+            )
+            self.in_flight.append(
+                (now + REFUSAL_DELAY_SECONDS, entry, endpoint)
+            )
             return False
-        heapq.heappush(self.running[endpoint], now + self.load.stay)
-        heapq.heappush(self.own[entry, endpoint], now + self.load.stay)
-        self.policy.accepted(entry, endpoint)
+        heapq.heappush(self.running[endpoint], now + self.load.slot_seconds)
+        heapq.heappush(
+            self.in_progress[entry, endpoint], now + self.load.slot_seconds
+        )
+        self.policy.record_acceptance(entry, endpoint)
         return True
 
     def _is_full(self, endpoint: int, now: float) -> bool:
         load = self.load
-        if endpoint < load.shedding and now < load.shedding_seconds:
+        if endpoint < load.overloaded and now < load.overload_seconds:
             return True
-        return _busy(self.running[endpoint], now) >= load.slots
+        return _count_running(self.running[endpoint], now) >= load.slots
 
-    def _most_in_rest(self, pair: tuple[int, int]) -> int:
-        """Return the most requests of an entry within one rest."""
+    def _max_in_backoff(self, pair: tuple[int, int]) -> int:
+        """Return the largest number of sends of an entry in one backoff."""
         return max(
             (
                 sum(
-                    asked + GRACE_SECONDS < at < asked + self.load.rest
+                    requested + GRACE_SECONDS
+                    < at
+                    < requested + self.load.backoff_seconds
                     for at in self.arrivals[pair]
                 )
-                for asked in self.asked_at[pair]
+                for requested in self.requested_at[pair]
             ),
             default=0,
         )
 
 
-def _busy(ends: list[float], now: float) -> int:
-    """Return how much is in progress; forget what has ended."""
+def _count_running(ends: list[float], now: float) -> int:
+    """Return the number of requests that run; remove the ended ones."""
     while ends and ends[0] <= now:
         heapq.heappop(ends)
     return len(ends)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_trials.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_trials.py
@@ -1,4 +1,7 @@
-"""Entries that hold a request in doubt, and a bystander, in virtual time."""
+"""Simulation, in virtual time, of trials of a crashing request.
+
+A crashing request and a bystander are both in quarantine at all entries.
+"""
 
 import abc
 import heapq
@@ -11,170 +14,170 @@
 from ....routing import EndpointLifetime
 from ..quarantine import Quarantine
 from ..trials import granting_entry
-from .builders_limits import Draws
+from .builders_limits import SeededRandom
 
-POISON = ContentDigest(b'crashing request')
+CRASHING = ContentDigest(b'crashing request')
 BYSTANDER = ContentDigest(b'ordinary request')
-#: Time until an entry hears what another knows, in seconds.
-LAG_SECONDS = 0.03
-#: Time until an endpoint has crashed, and that is known, in seconds.
+#: Time until an entry receives another one's reports, in seconds.
+REPORT_DELAY_SECONDS = 0.03
+#: Time until the entry knows that an endpoint has crashed, in seconds.
 CRASH_SECONDS = 0.15
 #: Time until a request is answered, in seconds.
 ANSWER_SECONDS = 0.4
-_FIRST_CRASHES = 3
+_INITIAL_CRASHES = 3
 
 
-class HeldLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Callers of two requests that were both at three crashes."""
+class TrialLoad(msgspec.Struct, frozen=True, kw_only=True):
+    """Arrivals of two requests that were both at three crashes."""
 
     entries: int = 5
-    poison_per_s: float = 3
+    crashing_per_s: float = 3
     bystander_per_s: float = 10
     seconds: float = 120
 
 
-class HoldPolicy(abc.ABC):
-    """Who sends a request whose hold is over."""
+class TrialPolicy(abc.ABC):
+    """A way in which entries send a request after its quarantine."""
 
-    def __init__(self, load: HeldLoad) -> None:
+    def __init__(self, load: TrialLoad) -> None:
         self.load = load
-        self.books = [Quarantine() for _ in range(load.entries)]
+        self.quarantines = [Quarantine() for _ in range(load.entries)]
 
     @abc.abstractmethod
     def may_send(self, entry: int, content: ContentDigest, now: float) -> bool:
-        """Return whether an entry sends a request that is not held."""
+        """Return whether an entry sends a request out of quarantine."""
 
-    def over(self, entry: int, content: ContentDigest) -> None:
-        """Note that the end of an attempt is known at its entry."""
+    def end_attempt(self, entry: int, content: ContentDigest) -> None:
+        """Record that an entry knows the end of its attempt."""
 
 
-class AllAtTheEnd(HoldPolicy):
-    """Lets all in once the time is over."""
+class AllAfterQuarantine(TrialPolicy):
+    """Sends all requests once the quarantine is over."""
 
     def may_send(self, entry: int, content: ContentDigest, now: float) -> bool:
         return True
 
 
-class OneAtEachEntry(HoldPolicy):
-    """Lets one in at each entry, until its end is known."""
+class OnePerEntry(TrialPolicy):
+    """Sends one request at a time from each entry."""
 
-    def __init__(self, load: HeldLoad) -> None:
+    def __init__(self, load: TrialLoad) -> None:
         super().__init__(load)
         self.in_progress: set[tuple[int, ContentDigest]] = set()
 
     def may_send(self, entry: int, content: ContentDigest, now: float) -> bool:
-        if not self.books[entry].is_in_doubt(content, now):
+        if not self.quarantines[entry].is_in_doubt(content, now):
             return True
         if (entry, content) in self.in_progress:
             return False
         self.in_progress.add((entry, content))
         return True
 
-    def over(self, entry: int, content: ContentDigest) -> None:
+    def end_attempt(self, entry: int, content: ContentDigest) -> None:
         self.in_progress.discard((entry, content))
 
 
-class OneGranted(HoldPolicy):
-    """Lets one in that an entry of the fleet has granted."""
+class OneInFleet(TrialPolicy):
+    """Sends one request at a time in the fleet, granted by one entry."""
 
     def may_send(self, entry: int, content: ContentDigest, now: float) -> bool:
-        book = self.books[entry]
-        if not book.is_in_doubt(content, now):
+        quarantine = self.quarantines[entry]
+        if not quarantine.is_in_doubt(content, now):
             return True
-        if book.seconds_to_try(content, now):
+        if quarantine.seconds_to_try(content, now):
             return False
-        names = map(str, range(self.load.entries))
-        granting = int(granting_entry(content, names))
-        number = self.books[granting].grant_try(content, now)
-        book.tried(content, number, now)
+        entries = map(str, range(self.load.entries))
+        granter = int(granting_entry(content, entries))
+        number = self.quarantines[granter].grant_try(content, now)
+        quarantine.tried(content, number, now)
         return number > 0
 
 
-class HoldOutcome(msgspec.Struct, frozen=True):
-    """What a play showed.
+class TrialOutcome(msgspec.Struct, frozen=True):
+    """Result of a simulation.
 
     Attributes
     ----------
     sends
-        Attempts at a crashing request after the first three crashes.
-    refused_seconds
-        When the last caller of the bystander was refused.
+        Attempts of the crashing request after the first three crashes.
+    last_refusal_at
+        When the last caller of the bystander was refused, in seconds.
     """
 
     sends: int
-    refused_seconds: float
+    last_refusal_at: float
 
 
-class HoldPlay:
-    """A load against a policy."""
+class TrialSimulation:
+    """Simulation of a load under a policy."""
 
-    def __init__(self, policy: HoldPolicy) -> None:
+    def __init__(self, policy: TrialPolicy) -> None:
         self.policy = policy
-        self.books = policy.books
+        self.quarantines = policy.quarantines
         self.sends = 0
-        self.refused_seconds: float = 0
+        self.last_refusal_at: float = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._number = 0
+        self._event_count = 0
 
-    def run(self, seed: int) -> HoldOutcome:
-        """Play the load."""
+    def run(self, seed: int) -> TrialOutcome:
+        """Run the simulation."""
         load = self.policy.load
-        drawn = Draws(seed)
-        for number in range(_FIRST_CRASHES):
-            self._crash(0, number, POISON, BYSTANDER)
-        self._arrivals(POISON, load.poison_per_s, drawn)
-        self._arrivals(BYSTANDER, load.bystander_per_s, drawn)
+        generator = SeededRandom(seed)
+        for number in range(_INITIAL_CRASHES):
+            self._crash(0, number, CRASHING, BYSTANDER)
+        self._schedule_arrivals(CRASHING, load.crashing_per_s, generator)
+        self._schedule_arrivals(BYSTANDER, load.bystander_per_s, generator)
         while self._events:
-            _, _, happen = heapq.heappop(self._events)
-            happen()
-        return HoldOutcome(self.sends, self.refused_seconds)
+            _, _, callback = heapq.heappop(self._events)
+            callback()
+        return TrialOutcome(self.sends, self.last_refusal_at)
 
-    def _arrivals(
+    def _schedule_arrivals(
         self,
         content: ContentDigest,
         per_second: float,
-        drawn: Draws,
+        generator: SeededRandom,
     ) -> None:
-        at = drawn.gap(per_second)
+        at = generator.interarrival_seconds(per_second)
         while at < self.policy.load.seconds:
-            entry = int(drawn.part() * self.policy.load.entries)
-            self._later(at, self._asker(entry, content, at))
-            at += drawn.gap(per_second)
+            entry = int(generator.fraction() * self.policy.load.entries)
+            self._schedule(at, self._make_request(entry, content, at))
+            at += generator.interarrival_seconds(per_second)
 
-    def _later(self, at: float, happen: Callable[[], None]) -> None:
-        self._number += 1
-        heapq.heappush(self._events, (at, self._number, happen))
+    def _schedule(self, at: float, callback: Callable[[], None]) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (at, self._event_count, callback))
 
-    def _asker(
+    def _make_request(
         self,
         entry: int,
         content: ContentDigest,
         now: float,
     ) -> Callable[[], None]:
-        def ask() -> None:
-            is_held = self.books[entry].is_held(content, now)
-            if is_held or not self.policy.may_send(entry, content, now):
+        def send_request() -> None:
+            is_quarantined = self.quarantines[entry].is_held(content, now)
+            if is_quarantined or not self.policy.may_send(entry, content, now):
                 self._refuse(content, now)
-            elif content == POISON:
+            elif content == CRASHING:
                 self.sends += 1
                 crashed_at = now + CRASH_SECONDS
-                number = _FIRST_CRASHES + self.sends
-                self._later(
+                number = _INITIAL_CRASHES + self.sends
+                self._schedule(
                     crashed_at,
-                    lambda: self._crash(crashed_at, number, POISON, at=entry),
+                    lambda: self._crash(crashed_at, number, CRASHING, at=entry),
                 )
             else:
                 answered_at = now + ANSWER_SECONDS
-                self._later(
+                self._schedule(
                     answered_at,
-                    lambda: self._answered(entry, answered_at),
+                    lambda: self._record_answer(entry, answered_at),
                 )
 
-        return ask
+        return send_request
 
     def _refuse(self, content: ContentDigest, now: float) -> None:
         if content == BYSTANDER:
-            self.refused_seconds = now
+            self.last_refusal_at = now
 
     def _crash(
         self,
@@ -183,20 +186,25 @@
         *suspects: ContentDigest,
         at: int = 0,
     ) -> None:
-        gone = EndpointLifetime(EndpointId(f'e{number}'), 5)
+        crashed = EndpointLifetime(EndpointId(f'e{number}'), 5)
         for content in suspects:
-            self.books[at].crashed(content, gone, now, had_just_begun=True)
-            self.policy.over(at, content)
-        self._tell(at, now)
-
-    def _answered(self, entry: int, now: float) -> None:
-        self.books[entry].answered(BYSTANDER, now)
-        self.policy.over(entry, BYSTANDER)
-        self._tell(entry, now)
-
-    def _tell(self, entry: int, now: float) -> None:
-        told = self.books[entry].book.everything(now)
-        heard_at = now + LAG_SECONDS
-        for other, book in enumerate(self.books):
+            self.quarantines[at].crashed(
+                content, crashed, now, had_just_begun=True
+            )
+            self.policy.end_attempt(at, content)
+        self._send_reports(at, now)
+
+    def _record_answer(self, entry: int, now: float) -> None:
+        self.quarantines[entry].answered(BYSTANDER, now)
+        self.policy.end_attempt(entry, BYSTANDER)
+        self._send_reports(entry, now)
+
+    def _send_reports(self, entry: int, now: float) -> None:
+        reports = self.quarantines[entry].book.everything(now)
+        delivered_at = now + REPORT_DELAY_SECONDS
+        for other, quarantine in enumerate(self.quarantines):
             if other != entry:
-                self._later(heard_at, partial(book.hear, told, heard_at))
+                self._schedule(
+                    delivered_at,
+                    partial(quarantine.hear, reports, delivered_at),
+                )
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_asked_rests.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_asked_rests.py
@@ -1,115 +1,125 @@
-"""Rests that endpoints ask an entry for."""
+"""Backoffs that endpoints request from entries."""
 
 import pytest
 
 from ..asked_rests import MAX_BACKOFF_SECONDS, PROBE_TIMEOUT_SECONDS, AskedRests
 from .builders_limits import lifetime
 from .builders_rests import (
-    MOST_WITHIN_REST,
-    AllAtTheEnd,
-    NoRest,
-    OneFirst,
-    RestLoad,
-    RestPlay,
-    ToldToPeers,
+    MAX_WITHIN_BACKOFF,
+    AllAfterBackoff,
+    BackoffLoad,
+    BackoffSimulation,
+    NoBackoff,
+    ProbeFirst,
+    SharedWithPeers,
 )
 
 ENGINE = lifetime(1)
 SEED = 3
-#: One engine takes nothing; the fleet could serve all.
-SHEDDING = RestLoad(shedding=1, arrivals_per_s=25)
-#: Four of eighteen engines take nothing.
-MANY_SHEDDING = RestLoad(shedding=4)
-#: Callers come back together to replicas that take nothing.
-BUNCHES = RestLoad(
+#: One engine accepts nothing; the rest of the fleet has capacity for all.
+ONE_OVERLOADED = BackoffLoad(overloaded=1, arrivals_per_s=25)
+#: Four of eighteen engines accept nothing.
+FOUR_OVERLOADED = BackoffLoad(overloaded=4)
+#: Callers retry at the same moment at replicas that accept nothing.
+BURSTS = BackoffLoad(
     endpoints=3,
     slots=6,
-    stay=0.05,
+    slot_seconds=0.05,
     arrivals_per_s=30,
-    shedding=3,
-    bunch=8,
+    overloaded=3,
+    burst_size=8,
 )
-NEARLY_FULL = RestLoad(arrivals_per_s=110, seconds=20)
-LOADS = (SHEDDING, MANY_SHEDDING, BUNCHES, NEARLY_FULL)
+NEARLY_FULL = BackoffLoad(arrivals_per_s=110, seconds=20)
+LOADS = (ONE_OVERLOADED, FOUR_OVERLOADED, BURSTS, NEARLY_FULL)
 
 
 @pytest.mark.parametrize('load', LOADS)
-def test_fleet_keeps_to_the_rests(load: RestLoad) -> None:
-    """Guards against requests within a rest that an endpoint asked for."""
-    assert RestPlay(OneFirst(load)).run(SEED).most_in_rest <= MOST_WITHIN_REST
+def test_fleet_observes_backoffs(load: BackoffLoad) -> None:
+    """Guards against requests within a backoff that an endpoint requested."""
+    assert (
+        BackoffSimulation(ProbeFirst(load)).run(SEED).max_in_backoff
+        <= MAX_WITHIN_BACKOFF
+    )
 
 
 @pytest.mark.parametrize('load', LOADS)
-def test_without_rests_they_are_broken(load: RestLoad) -> None:
-    assert RestPlay(NoRest(load)).run(SEED).most_in_rest > MOST_WITHIN_REST
-
-
-def test_fewer_callers_are_turned_away_than_without_rests() -> None:
-    """Guards against callers that try what is known to refuse them."""
-    plain = RestPlay(NoRest(MANY_SHEDDING)).run(SEED)
-    kept = RestPlay(OneFirst(MANY_SHEDDING)).run(SEED)
-    assert kept.turned_away < plain.turned_away / 2
-    assert kept.served > plain.served
-
-
-def test_rests_told_to_peers_leave_callers_without_service() -> None:
-    """Guards against a fleet that leaves all endpoints by word of one entry."""
-    told = RestPlay(ToldToPeers(NEARLY_FULL)).run(SEED)
-    kept = RestPlay(OneFirst(NEARLY_FULL)).run(SEED)
-    assert kept.served > told.served
-
-
-def test_one_request_first_spares_callers_that_come_together() -> None:
-    """Guards against a crowd that is turned away at the end of a rest."""
-    crowd = RestPlay(AllAtTheEnd(BUNCHES)).run(SEED)
-    first = RestPlay(OneFirst(BUNCHES)).run(SEED)
-    assert first.turned_away < crowd.turned_away / 2
-
-
-def test_shorter_rest_does_not_end_a_longer_one() -> None:
-    """Guards against a request sent within the first of two rests."""
-    rests = AskedRests()
-    rests.said(ENGINE, 5, 10)
-    rests.said(ENGINE, 1, 11)
-    assert rests.seconds_left(ENGINE, 11) == 4
-
-
-def test_answer_to_an_earlier_request_ends_no_rest() -> None:
-    """Guards against a rest that is forgotten as a stream of before begins."""
-    rests = AskedRests()
-    rests.said(ENGINE, 5, 10)
-    rests.accepted(ENGINE)
-    assert not rests.takes(ENGINE, 11)
-
-
-def test_rest_of_no_length_is_none() -> None:
-    rests = AskedRests()
-    rests.said(ENGINE, 0, 10)
-    rests.sent(ENGINE, 10)
-    assert rests.takes(ENGINE, 10)
-
-
-def test_rest_beyond_all_measure_has_an_end() -> None:
-    """Guards against an endpoint that is lost to a value nobody meant."""
-    rests = AskedRests()
-    rests.said(ENGINE, 1e300, 0)
-    assert not rests.takes(ENGINE, MAX_BACKOFF_SECONDS - 1)
-    assert rests.takes(ENGINE, MAX_BACKOFF_SECONDS)
-
-
-def test_request_that_is_never_answered_holds_others_up_for_a_moment() -> None:
-    """Guards against an endpoint that is lost with the one that went first."""
-    rests = AskedRests()
-    rests.said(ENGINE, 1, 10)
-    rests.sent(ENGINE, 11)
-    assert not rests.takes(ENGINE, 11)
-    assert rests.takes(ENGINE, 11 + PROBE_TIMEOUT_SECONDS)
-
-
-def test_many_rests_that_are_over_are_forgotten() -> None:
-    """Guards against memory that grows with each start of an endpoint."""
-    rests = AskedRests()
+def test_backoffs_are_violated_by_entries_that_ignore_them(
+    load: BackoffLoad,
+) -> None:
+    assert (
+        BackoffSimulation(NoBackoff(load)).run(SEED).max_in_backoff
+        > MAX_WITHIN_BACKOFF
+    )
+
+
+def test_fewer_requests_are_refused_than_without_backoffs() -> None:
+    """Guards against attempts at endpoints that are known to refuse them."""
+    without = BackoffSimulation(NoBackoff(FOUR_OVERLOADED)).run(SEED)
+    observed = BackoffSimulation(ProbeFirst(FOUR_OVERLOADED)).run(SEED)
+    assert observed.refusals_per_request < without.refusals_per_request / 2
+    assert observed.served > without.served
+
+
+def test_backoffs_shared_with_peers_reduce_the_served_requests() -> None:
+    """Guards against a fleet that avoids an endpoint that refused one entry."""
+    shared = BackoffSimulation(SharedWithPeers(NEARLY_FULL)).run(SEED)
+    observed = BackoffSimulation(ProbeFirst(NEARLY_FULL)).run(SEED)
+    assert observed.served > shared.served
+
+
+def test_probe_reduces_refusals_of_simultaneous_requests() -> None:
+    """Guards against many requests that are refused after a backoff."""
+    without_probe = BackoffSimulation(AllAfterBackoff(BURSTS)).run(SEED)
+    with_probe = BackoffSimulation(ProbeFirst(BURSTS)).run(SEED)
+    assert (
+        with_probe.refusals_per_request < without_probe.refusals_per_request / 2
+    )
+
+
+def test_shorter_backoff_does_not_end_a_longer_one() -> None:
+    """Guards against a request sent within the first of two backoffs."""
+    backoffs = AskedRests()
+    backoffs.said(ENGINE, 5, 10)
+    backoffs.said(ENGINE, 1, 11)
+    assert backoffs.seconds_left(ENGINE, 11) == 4
+
+
+def test_answer_to_an_earlier_request_does_not_end_a_backoff() -> None:
+    """Guards against a backoff that ends as an earlier stream begins."""
+    backoffs = AskedRests()
+    backoffs.said(ENGINE, 5, 10)
+    backoffs.accepted(ENGINE)
+    assert not backoffs.takes(ENGINE, 11)
+
+
+def test_backoff_of_zero_seconds_is_ignored() -> None:
+    backoffs = AskedRests()
+    backoffs.said(ENGINE, 0, 10)
+    backoffs.sent(ENGINE, 10)
+    assert backoffs.takes(ENGINE, 10)
+
+
+def test_excessive_backoff_is_bounded() -> None:
+    """Guards against an endpoint that is never used after a wrong value."""
+    backoffs = AskedRests()
+    backoffs.said(ENGINE, 1e300, 0)
+    assert not backoffs.takes(ENGINE, MAX_BACKOFF_SECONDS - 1)
+    assert backoffs.takes(ENGINE, MAX_BACKOFF_SECONDS)
+
+
+def test_unanswered_probe_delays_other_requests_until_its_timeout() -> None:
+    """Guards against an endpoint that is never used after a lost probe."""
+    backoffs = AskedRests()
+    backoffs.said(ENGINE, 1, 10)
+    backoffs.sent(ENGINE, 11)
+    assert not backoffs.takes(ENGINE, 11)
+    assert backoffs.takes(ENGINE, 11 + PROBE_TIMEOUT_SECONDS)
+
+
+def test_expired_backoffs_are_dropped() -> None:
+    """Guards against memory that grows with each restart of an endpoint."""
+    backoffs = AskedRests()
     for number in range(10_000):
-        rests.said(lifetime(number), 1, number)
-    assert len(rests.backoffs) < 5000
-    assert not rests.takes(lifetime(9999), 9999)
+        backoffs.said(lifetime(number), 1, number)
+    assert len(backoffs.backoffs) < 5000
+    assert not backoffs.takes(lifetime(9999), 9999)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_attempts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""What follows an attempt never breaks a promise, whatever came before."""
+"""Steps after failed attempts, and the retry budget."""
 
 import msgspec
 from hypothesis import given
@@ -10,23 +10,29 @@
 
 KINDS = st.sampled_from(RouteKind)
 ENDS = st.sampled_from([end for end in AttemptEnd if end != 'answered'])
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 
 
 def steps(
     kind: RouteKind,
     ends: list[AttemptEnd],
     max_attempts: int,
-    begins_at: int,
+    begins_with: int,
 ) -> list[tuple[AttemptLog, NextStep]]:
-    """Follow the steps through some attempts, as an exchange does."""
+    """Return the log and the step after each attempt until the last one.
+
+    Parameters
+    ----------
+    begins_with
+        Number of the first attempt that may begin an answer, from 0.
+    """
     log = AttemptLog()
-    taken: list[tuple[AttemptLog, NextStep]] = []
+    results: list[tuple[AttemptLog, NextStep]] = []
     for number, end in enumerate(ends):
         log.begin()
         log.note(end)
         has_run = end in {AttemptEnd.BROKEN, AttemptEnd.SILENT}
-        log.has_begun = log.has_begun or (has_run and number >= begins_at)
+        log.has_begun = log.has_begun or (has_run and number >= begins_with)
         step = next_step(
             kind,
             end,
@@ -34,30 +40,30 @@
             may_repeat=True,
             max_attempts=max_attempts,
         )
-        taken.append((msgspec.structs.replace(log), step))
+        results.append((msgspec.structs.replace(log), step))
         if step != NextStep.TRY_AGAIN:
             break
-    return taken
+    return results
 
 
 @given(
     kind=KINDS,
     ends=st.lists(ENDS, min_size=1, max_size=6),
-    max_attempts=st.integers(1, MOST_ATTEMPTS),
-    begins_at=st.integers(0, 6),
+    max_attempts=st.integers(1, MAX_ATTEMPTS),
+    begins_with=st.integers(0, 6),
 )
-def test_no_step_breaks_a_promise(
+def test_steps_preserve_the_guarantees(
     kind: RouteKind,
     ends: list[AttemptEnd],
     max_attempts: int,
-    begins_at: int,
+    begins_with: int,
 ) -> None:
-    """Attempts fail in every way, one after the other.
+    """Guards against duplicate runs and untrue answers after any failures.
 
-    A deposit would be recorded twice, an answer would be put together from
-    two runs, or a caller would be told that nothing ran although it did.
+    A deposit would be recorded twice, an answer would be composed of two runs,
+    or a caller would receive "not run" although the request ran.
     """
-    for log, step in steps(kind, ends, max_attempts, begins_at):
+    for log, step in steps(kind, ends, max_attempts, begins_with):
         if step == NextStep.REFUSE:
             assert log.may_have_run == 0
         if step != NextStep.TRY_AGAIN:
@@ -70,7 +76,7 @@
 
 
 @given(end=ENDS, kind=KINDS)
-def test_without_allowance_nothing_is_repeated(
+def test_nothing_is_retried_without_budget(
     end: AttemptEnd,
     kind: RouteKind,
 ) -> None:
@@ -84,29 +90,29 @@
 @given(
     entries=st.integers(1, 30),
     gaps=st.lists(st.floats(0, 1), min_size=1, max_size=60),
-    first_tries=st.integers(0, 40),
+    first_attempts=st.integers(0, 40),
 )
-def test_repeats_of_all_entries_keep_to_the_bound(
+def test_retries_of_all_entries_stay_within_the_limit(
     entries: int,
     gaps: list[float],
-    first_tries: int,
+    first_attempts: int,
 ) -> None:
-    """All entries repeat as often as they may, and cannot hear one another.
+    """Guards against retries of partitioned entries that overload endpoints.
 
-    Together they would bring the endpoints down that are left.
+    All entries retry as often as they may, without reports from each other.
     """
     bounds = AllowanceBounds(ratio=0.2, slack=100, window=10)
-    allowance = RetryAllowance(bounds)
+    budget = RetryAllowance(bounds)
     now = float(0)
-    taken: list[float] = []
-    for _ in range(first_tries):
-        allowance.first_try(now)
+    retried: list[float] = []
+    for _ in range(first_attempts):
+        budget.first_try(now)
     for gap in gaps:
         now += gap
-        if allowance.take(now, entries):
-            taken.append(now)
-    for moment in taken:
-        begin = moment - bounds.window
-        within = [one for one in taken if begin < one <= moment]
-        most = bounds.slack / entries + bounds.ratio * first_tries
-        assert len(within) <= most
+        if budget.take(now, entries):
+            retried.append(now)
+    for moment in retried:
+        start = moment - bounds.window
+        within = [at for at in retried if start < at <= moment]
+        limit = bounds.slack / entries + bounds.ratio * first_attempts
+        assert len(within) <= limit
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests under which endpoints crash, and bystanders."""
+"""Quarantine of requests that crash endpoints, and of bystanders."""
 
 import pytest
 
@@ -8,228 +8,239 @@
 from ..crash_registry import MAX_CONTENTS, QUARANTINE_SECONDS
 from ..quarantine import DOUBT_SECONDS, Quarantine
 
-POISON = ContentDigest(b'crashing request')
-#: Sends that the users allow after the third crash.
-MOST_FURTHER = 3
+CRASHING = ContentDigest(b'crashing request')
+#: Crashes that are permitted after the third one.
+MAX_FURTHER_CRASHES = 3
 BYSTANDER = ContentDigest(b'ordinary request')
 
 
-def numbered(number: int) -> ContentDigest:
+def content_of(number: int) -> ContentDigest:
     return ContentDigest(str(number).zfill(16).encode())
 
 
-def start_of(name: str, started_ms: int = 5) -> EndpointLifetime:
+def lifetime_of(name: str, started_ms: int = 5) -> EndpointLifetime:
     return EndpointLifetime(EndpointId(name), started_ms)
 
 
 def crash(
-    book: Quarantine,
+    quarantine: Quarantine,
     name: str,
     now: float,
-    content: ContentDigest = POISON,
+    content: ContentDigest = CRASHING,
     *,
     had_just_begun: bool = True,
 ) -> None:
-    book.crashed(content, start_of(name), now, had_just_begun=had_just_begun)
+    quarantine.crashed(
+        content, lifetime_of(name), now, had_just_begun=had_just_begun
+    )
 
 
-def test_second_crash_of_a_request_that_had_just_begun_holds_it() -> None:
-    book = Quarantine()
-    crash(book, 'e1', 10)
-    assert not book.is_held(POISON, 10)
-    crash(book, 'e2', 12)
-    assert book.is_held(POISON, 12)
-    assert book.seconds_left(POISON, 13) == QUARANTINE_SECONDS - 1
+def test_second_crash_quarantines_a_request_that_had_just_begun() -> None:
+    quarantine = Quarantine()
+    crash(quarantine, 'e1', 10)
+    assert not quarantine.is_held(CRASHING, 10)
+    crash(quarantine, 'e2', 12)
+    assert quarantine.is_held(CRASHING, 12)
+    assert quarantine.seconds_left(CRASHING, 13) == QUARANTINE_SECONDS - 1
 
 
-def test_request_that_crashes_endpoints_later_is_held_after_three() -> None:
-    """Guards against a request that streams for a while before it does harm."""
-    book = Quarantine()
+def test_third_crash_quarantines_a_request_that_crashes_endpoints_later() -> (
+    None
+):
+    """Guards against a request that streams for a while before each crash."""
+    quarantine = Quarantine()
     for number in range(3):
-        assert not book.is_held(POISON, 10 + number)
-        crash(book, f'e{number}', 10 + number, had_just_begun=False)
-    assert book.is_held(POISON, 13)
+        assert not quarantine.is_held(CRASHING, 10 + number)
+        crash(quarantine, f'e{number}', 10 + number, had_just_begun=False)
+    assert quarantine.is_held(CRASHING, 13)
 
 
-def test_bystander_that_is_answered_between_two_crashes_is_not_held() -> None:
-    """Guards against a popular call that is held for others' crashes."""
-    book = Quarantine()
+def test_bystander_answered_between_crashes_is_not_quarantined() -> None:
+    """Guards against the quarantine of a popular request for other crashes."""
+    quarantine = Quarantine()
     for number in range(12):
-        crash(book, f'e{number}', 10 + number, BYSTANDER)
-        book.answered(BYSTANDER, 10.5 + number)
-        assert not book.is_held(BYSTANDER, 10.5 + number)
+        crash(quarantine, f'e{number}', 10 + number, BYSTANDER)
+        quarantine.answered(BYSTANDER, 10.5 + number)
+        assert not quarantine.is_held(BYSTANDER, 10.5 + number)
 
 
-def test_cleared_request_is_held_when_it_crashes_endpoints_later() -> None:
-    """Guards against room for crashes that is used up by cleared ones."""
-    book = Quarantine()
+def test_cleared_request_is_quarantined_after_further_crashes() -> None:
+    """Guards against a record whose capacity cleared crashes exhaust."""
+    quarantine = Quarantine()
     for number in range(6):
-        crash(book, f'e{number}', 10 + number)
-        book.answered(POISON, 10.5 + number)
-    crash(book, 'e7', 20)
-    crash(book, 'e8', 21)
-    assert book.is_held(POISON, 21)
+        crash(quarantine, f'e{number}', 10 + number)
+        quarantine.answered(CRASHING, 10.5 + number)
+    crash(quarantine, 'e7', 20)
+    crash(quarantine, 'e8', 21)
+    assert quarantine.is_held(CRASHING, 21)
 
 
-def test_bystander_that_moves_on_with_the_cause_is_not_held() -> None:
-    """Guards against streams that go to the next endpoint with the cause."""
-    book = Quarantine()
+def test_bystander_retried_with_the_cause_is_not_quarantined() -> None:
+    """Guards against quarantine of streams retried beside the cause."""
+    quarantine = Quarantine()
     for number in range(2):
-        crash(book, f'e{number}', 10 + number)
-        crash(book, f'e{number}', 10 + number, BYSTANDER)
-    assert not book.is_held(BYSTANDER, 12)
-    book.answered(BYSTANDER, 12)
-    assert book.is_held(POISON, 12)
-    assert not book.is_held(BYSTANDER, 12)
+        crash(quarantine, f'e{number}', 10 + number)
+        crash(quarantine, f'e{number}', 10 + number, BYSTANDER)
+    assert not quarantine.is_held(BYSTANDER, 12)
+    quarantine.answered(BYSTANDER, 12)
+    assert quarantine.is_held(CRASHING, 12)
+    assert not quarantine.is_held(BYSTANDER, 12)
 
 
-def test_cause_is_held_after_three_crashes_whoever_was_there() -> None:
-    """Guards against a cause that hides among others for ever."""
-    book = Quarantine()
+def test_cause_is_quarantined_after_three_crashes_among_bystanders() -> None:
+    """Guards against a cause that is never found among other requests."""
+    quarantine = Quarantine()
     for number in range(3):
-        crash(book, f'e{number}', 10 + number)
+        crash(quarantine, f'e{number}', 10 + number)
         for other in range(5):
-            crash(book, f'e{number}', 10 + number, numbered(other + 9 * number))
-    assert book.is_held(POISON, 13)
-    assert not book.is_held(numbered(1), 13)
-
-
-def test_bystander_of_all_crashes_is_soon_let_through_again() -> None:
-    """Guards against a popular call that is held for long beside the cause."""
-    book = Quarantine()
+            crash(
+                quarantine,
+                f'e{number}',
+                10 + number,
+                content_of(other + 9 * number),
+            )
+    assert quarantine.is_held(CRASHING, 13)
+    assert not quarantine.is_held(content_of(1), 13)
+
+
+def test_bystander_of_all_crashes_has_a_short_quarantine() -> None:
+    """Guards against a full quarantine for a popular request."""
+    quarantine = Quarantine()
     for number in range(3):
-        crash(book, f'e{number}', 10)
-        crash(book, f'e{number}', 10, BYSTANDER)
-    assert book.is_held(BYSTANDER, 10 + DOUBT_SECONDS / 2)
-    assert not book.is_held(BYSTANDER, 10 + DOUBT_SECONDS)
-    book.answered(BYSTANDER, 11 + DOUBT_SECONDS)
-    assert book.is_held(POISON, 11 + DOUBT_SECONDS)
+        crash(quarantine, f'e{number}', 10)
+        crash(quarantine, f'e{number}', 10, BYSTANDER)
+    assert quarantine.is_held(BYSTANDER, 10 + DOUBT_SECONDS / 2)
+    assert not quarantine.is_held(BYSTANDER, 10 + DOUBT_SECONDS)
+    quarantine.answered(BYSTANDER, 11 + DOUBT_SECONDS)
+    assert quarantine.is_held(CRASHING, 11 + DOUBT_SECONDS)
 
 
-def test_bystander_of_a_crash_whose_cause_nobody_tells_is_held_briefly() -> (
+def test_bystander_of_a_crash_without_known_cause_has_a_short_quarantine() -> (
     None
 ):
-    """Guards against an entry that dies before it tells what it had sent."""
-    book = Quarantine()
-    crash(book, 'e1', 10)
-    crash(book, 'e1', 10, BYSTANDER)
-    crash(book, 'e2', 11, BYSTANDER)
-    assert not book.is_held(BYSTANDER, 11 + DOUBT_SECONDS)
+    """Guards against an entry that dies before it reports what it had sent."""
+    quarantine = Quarantine()
+    crash(quarantine, 'e1', 10)
+    crash(quarantine, 'e1', 10, BYSTANDER)
+    crash(quarantine, 'e2', 11, BYSTANDER)
+    assert not quarantine.is_held(BYSTANDER, 11 + DOUBT_SECONDS)
 
 
-def test_request_that_crashes_again_when_let_through_is_held_longer() -> None:
-    """Guards against a cause in doubt that ends an endpoint every moment."""
-    book = Quarantine()
+def test_quarantine_grows_with_each_crash_after_it() -> None:
+    """Guards against a cause that crashes an endpoint after each quarantine."""
+    quarantine = Quarantine()
     now, crashes = 10.0, 0
     while now < 300:
-        if not book.is_held(POISON, now):
-            crash(book, f'e{crashes}', now, had_just_begun=False)
+        if not quarantine.is_held(CRASHING, now):
+            crash(quarantine, f'e{crashes}', now, had_just_begun=False)
             crashes += 1
         now += 0.5
-    assert crashes <= 3 + MOST_FURTHER
+    assert crashes <= 3 + MAX_FURTHER_CRASHES
 
 
-def test_one_crash_that_two_entries_see_counts_once() -> None:
-    """Guards against two callers of one request that hold it by one crash."""
-    one, other = Quarantine(), Quarantine()
-    crash(one, 'e1', 10)
-    crash(other, 'e1', 10.001)
-    other.hear(one.book.news(10.1), 10.1)
-    assert not other.is_held(POISON, 10.1)
+def test_crash_observed_by_two_entries_counts_once() -> None:
+    """Guards against a quarantine after one crash with two callers."""
+    first, second = Quarantine(), Quarantine()
+    crash(first, 'e1', 10)
+    crash(second, 'e1', 10.001)
+    second.hear(first.book.news(10.1), 10.1)
+    assert not second.is_held(CRASHING, 10.1)
 
 
-def test_endpoint_that_is_back_under_its_id_counts_again() -> None:
-    book = Quarantine()
+def test_endpoint_that_restarts_with_its_id_counts_again() -> None:
+    quarantine = Quarantine()
     for started_ms in (5, 6):
-        endpoint = start_of('e1', started_ms)
-        book.crashed(POISON, endpoint, 10 + started_ms, had_just_begun=True)
-    assert book.is_held(POISON, 20)
+        endpoint = lifetime_of('e1', started_ms)
+        quarantine.crashed(
+            CRASHING, endpoint, 10 + started_ms, had_just_begun=True
+        )
+    assert quarantine.is_held(CRASHING, 20)
 
 
-def test_crashes_that_several_entries_saw_add_up() -> None:
-    """Guards against a request that ends one endpoint at each entry."""
-    one, other = Quarantine(), Quarantine()
-    crash(one, 'e1', 10)
-    crash(other, 'e2', 11)
-    assert other.hear(one.book.news(11), 11) == [POISON]
-    assert not other.hear(one.book.news(11.1), 11.1)
+def test_crashes_observed_by_several_entries_add_up() -> None:
+    """Guards against a request that crashes one endpoint at each entry."""
+    first, second = Quarantine(), Quarantine()
+    crash(first, 'e1', 10)
+    crash(second, 'e2', 11)
+    assert second.hear(first.book.news(11), 11) == [CRASHING]
+    assert not second.hear(first.book.news(11.1), 11.1)
 
 
-def test_age_of_a_crash_passes_through_entries_with_other_clocks() -> None:
-    one, other = Quarantine(), Quarantine()
-    crash(one, 'e1', 10)
-    crash(one, 'e2', 11)
-    other.hear(one.book.everything(41), 7000)
-    assert other.seconds_left(POISON, 7000) == QUARANTINE_SECONDS - 30
+def test_age_of_a_crash_is_kept_between_entries_with_different_clocks() -> None:
+    first, second = Quarantine(), Quarantine()
+    crash(first, 'e1', 10)
+    crash(first, 'e2', 11)
+    second.hear(first.book.everything(41), 7000)
+    assert second.seconds_left(CRASHING, 7000) == QUARANTINE_SECONDS - 30
 
 
-def test_crash_of_many_endpoints_at_once_holds_nothing() -> None:
-    """Guards against the loss of a zone that holds the requests there."""
-    book = Quarantine()
+def test_mass_crash_quarantines_nothing() -> None:
+    """Guards against the quarantine of all requests of a zone that is lost."""
+    quarantine = Quarantine()
     for number in range(MAX_SIMULTANEOUS_CRASHES * 3):
-        content = numbered(number)
-        crash(book, f'e{number}', 10, content)
-        crash(book, f'e{number}', 10, BYSTANDER)
-    assert len(book.book.records) <= MAX_SIMULTANEOUS_CRASHES + 1
-    crash(book, 'e100', 10.2, POISON)
-    assert not book.is_held(POISON, 11)
-
-
-def test_held_request_is_tried_again_in_the_end() -> None:
-    book = Quarantine()
-    crash(book, 'e1', 10)
-    crash(book, 'e2', 11)
-    assert not book.is_held(POISON, 11 + QUARANTINE_SECONDS)
-    assert not book.book.may_know(POISON[:8])
-
-
-def test_flood_of_other_contents_does_not_free_a_held_one() -> None:
-    """Guards against a memory that grows with what callers send."""
-    book = Quarantine()
-    crash(book, 'e1', 1)
-    crash(book, 'e2', 2)
+        content = content_of(number)
+        crash(quarantine, f'e{number}', 10, content)
+        crash(quarantine, f'e{number}', 10, BYSTANDER)
+    assert len(quarantine.book.records) <= MAX_SIMULTANEOUS_CRASHES + 1
+    crash(quarantine, 'e100', 10.2, CRASHING)
+    assert not quarantine.is_held(CRASHING, 11)
+
+
+def test_quarantine_ends() -> None:
+    quarantine = Quarantine()
+    crash(quarantine, 'e1', 10)
+    crash(quarantine, 'e2', 11)
+    assert not quarantine.is_held(CRASHING, 11 + QUARANTINE_SECONDS)
+    assert not quarantine.book.may_know(CRASHING[:8])
+
+
+def test_many_other_contents_do_not_end_a_quarantine() -> None:
+    """Guards against memory that grows with the contents of callers."""
+    quarantine = Quarantine()
+    crash(quarantine, 'e1', 1)
+    crash(quarantine, 'e2', 2)
     for number in range(3 * MAX_CONTENTS):
-        content = numbered(number)
-        crash(book, f'x{number}', 3 + number, content)
-    assert len(book.book.records) == MAX_CONTENTS
-    assert book.is_held(POISON, 500)
+        content = content_of(number)
+        crash(quarantine, f'x{number}', 3 + number, content)
+    assert len(quarantine.book.records) == MAX_CONTENTS
+    assert quarantine.is_held(CRASHING, 500)
 
 
-def test_entry_that_hears_late_learns_of_all_in_turn() -> None:
-    """Guards against an entry that was cut off while all others learned."""
-    one, late = Quarantine(), Quarantine()
+def test_late_entry_receives_all_crashes_by_rotation() -> None:
+    """Guards against an entry without reports from the time of a partition."""
+    first, late = Quarantine(), Quarantine()
     for number in range(40):
-        content = numbered(number)
-        crash(one, f'e{number}', number, content)
-        crash(one, f'x{number}', number, content)
-    for beat in range(10):
-        late.hear(one.book.in_turn(200 + beat), 200 + beat)
-    assert late.book.records.keys() == one.book.records.keys()
+        content = content_of(number)
+        crash(first, f'e{number}', number, content)
+        crash(first, f'x{number}', number, content)
+    for tick in range(10):
+        late.hear(first.book.in_turn(200 + tick), 200 + tick)
+    assert late.book.records.keys() == first.book.records.keys()
 
 
-def test_summaries_for_other_cells_take_no_turn_of_the_own_one() -> None:
-    """Guards against held contents of which an entry's own cell hears never."""
-    one, late = Quarantine(), Quarantine()
+def test_summaries_for_other_cells_do_not_advance_the_rotation() -> None:
+    """Guards against contents that are never reported in the own cell."""
+    first, late = Quarantine(), Quarantine()
     for number in range(20):
-        crash(one, f'e{number}', number, numbered(number))
-        crash(one, f'x{number}', number, numbered(number))
-    for beat in range(20):
-        now = 200 + beat
-        late.hear(one.book.in_turn(now), now)
+        crash(first, f'e{number}', number, content_of(number))
+        crash(first, f'x{number}', number, content_of(number))
+    for tick in range(20):
+        now = 200 + tick
+        late.hear(first.book.in_turn(now), now)
         for _ in range(4):
-            one.book.in_turn(now)
-    assert late.book.records.keys() == one.book.records.keys()
+            first.book.in_turn(now)
+    assert late.book.records.keys() == first.book.records.keys()
 
 
 @pytest.mark.parametrize('age', [QUARANTINE_SECONDS, 1e9])
-def test_word_that_is_too_old_is_not_believed(age: float) -> None:
-    book = Quarantine()
-    book.hear([CrashReport(POISON, start_of('e1'), age)], 10)
-    assert not book.book.records
+def test_report_that_is_too_old_is_ignored(age: float) -> None:
+    quarantine = Quarantine()
+    quarantine.hear([CrashReport(CRASHING, lifetime_of('e1'), age)], 10)
+    assert not quarantine.book.records
 
 
 @pytest.mark.parametrize(
-    ('alone', 'shared', 'run_on', 'held'),
+    ('sole', 'shared', 'later', 'quarantine_seconds'),
     [
         (1, 0, 0, 0),
         (2, 0, 0, QUARANTINE_SECONDS),
@@ -245,25 +256,31 @@
         (0, 6, 0, QUARANTINE_SECONDS),
     ],
 )
-def test_for_how_long_a_request_is_held(
-    alone: int,
+def test_length_of_a_quarantine(
+    sole: int,
     shared: int,
-    run_on: int,
-    held: float,
+    later: int,
+    quarantine_seconds: float,
 ) -> None:
-    """Guards against thresholds whose meeting nobody can foresee.
-
-    Crashes at which it alone had just begun, at which another had as well, and
-    at which it had run for a while.
+    """Guards against unexpected results where several thresholds interact.
+
+    Parameters
+    ----------
+    sole
+        Crashes at which only this request had just begun.
+    shared
+        Crashes at which another request had just begun as well.
+    later
+        Crashes at which the request had run for a while.
     """
-    book = Quarantine()
+    quarantine = Quarantine()
     now = float(0)
-    for number in range(alone + shared):
+    for number in range(sole + shared):
         now += 1
-        crash(book, f'e{number}', now)
-        if number >= alone:
-            crash(book, f'e{number}', now, BYSTANDER)
-    for number in range(run_on):
+        crash(quarantine, f'e{number}', now)
+        if number >= sole:
+            crash(quarantine, f'e{number}', now, BYSTANDER)
+    for number in range(later):
         now += 1
-        crash(book, f'late-{number}', now, had_just_begun=False)
-    assert book.seconds_left(POISON, now) == held
+        crash(quarantine, f'late-{number}', now, had_just_begun=False)
+    assert quarantine.seconds_left(CRASHING, now) == quarantine_seconds
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_rate_limits_machine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_rate_limits_machine.py
@@ -1,7 +1,8 @@
-"""Entries that share a limit, with words late, lost and out of order.
+"""Limit reports between entries, in any order and with losses.
 
-Whatever happens, an entry knows of no more sends than there were, has no limit
-that nobody named, and entries that have heard one another agree.
+In every sequence of events, an entry counts no sends that did not happen, has
+no limit that no endpoint requested, and entries agree after they have
+exchanged reports.
 """
 
 from hypothesis import settings
@@ -15,85 +16,89 @@
 
 ENGINE = lifetime(1)
 NAMES = frozenset((EndpointId('1'),))
-PLACES = range(3)
-place_of = st.sampled_from(PLACES)
+ENTRY_NUMBERS = range(3)
+entry_numbers = st.sampled_from(ENTRY_NUMBERS)
 
 
-def name_of(place: int) -> str:
-    return f'entry-{place}'
+def name_of(entry: int) -> str:
+    return f'entry-{entry}'
 
 
 class RateLimitMachine(RuleBasedStateMachine):
-    """Several entries before one endpoint."""
+    """Several entries and one endpoint."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1.0
-        self.books = [RateLimits(EntryId(name_of(one))) for one in PLACES]
-        self.sent: list[float] = []
-        self.named: set[float | None] = {None}
-        self.on_the_way: list[tuple[int, tuple[LimitReport, ...]]] = []
+        self.limits = [
+            RateLimits(EntryId(name_of(one))) for one in ENTRY_NUMBERS
+        ]
+        self.send_times: list[float] = []
+        self.requested: set[float | None] = {None}
+        self.in_flight: list[tuple[int, tuple[LimitReport, ...]]] = []
 
     @rule(seconds=st.floats(0.01, 2))
     def time_passes(self, seconds: float) -> None:
         self.now += seconds
 
-    @rule(place=place_of, rate=st.sampled_from((0, 0.5, 1.2, 5, None)))
-    def endpoint_answers(self, place: int, rate: float | None) -> None:
+    @rule(entry=entry_numbers, rate=st.sampled_from((0, 0.5, 1.2, 5, None)))
+    def endpoint_answers(self, entry: int, rate: float | None) -> None:
         self.now += 0.001
-        self.named.add(rate)
-        self.books[place].said(ENGINE, rate, self.now)
-        assert self.books[place].limit(ENGINE, self.now) == rate
-
-    @rule(place=place_of)
-    def entry_sends_if_it_may(self, place: int) -> None:
-        if self.books[place].has_room(ENGINE, self.now):
-            self.books[place].sent(ENGINE, self.now)
-            self.sent.append(self.now)
-
-    @rule(place=place_of)
-    def entry_starts_anew(self, place: int) -> None:
-        self.books[place] = RateLimits(EntryId(name_of(place)))
-
-    @rule(place=place_of)
-    def entry_tells(self, place: int) -> None:
-        told = self.books[place].reports(NAMES, self.now)
-        self.on_the_way.append((place, told))
-
-    @rule(place=place_of, which=st.integers(0, 30))
-    def message_arrives(self, place: int, which: int) -> None:
-        if self.on_the_way:
-            sender, told = self.on_the_way.pop(which % len(self.on_the_way))
-            if sender != place:
-                self.books[place].hear(PeerId(name_of(sender)), told, self.now)
+        self.requested.add(rate)
+        self.limits[entry].said(ENGINE, rate, self.now)
+        assert self.limits[entry].limit(ENGINE, self.now) == rate
+
+    @rule(entry=entry_numbers)
+    def entry_sends_if_permitted(self, entry: int) -> None:
+        if self.limits[entry].has_room(ENGINE, self.now):
+            self.limits[entry].sent(ENGINE, self.now)
+            self.send_times.append(self.now)
+
+    @rule(entry=entry_numbers)
+    def entry_restarts(self, entry: int) -> None:
+        self.limits[entry] = RateLimits(EntryId(name_of(entry)))
+
+    @rule(entry=entry_numbers)
+    def entry_sends_reports(self, entry: int) -> None:
+        reports = self.limits[entry].reports(NAMES, self.now)
+        self.in_flight.append((entry, reports))
+
+    @rule(entry=entry_numbers, index=st.integers(0, 30))
+    def message_arrives(self, entry: int, index: int) -> None:
+        if self.in_flight:
+            sender, reports = self.in_flight.pop(index % len(self.in_flight))
+            if sender != entry:
+                self.limits[entry].hear(
+                    PeerId(name_of(sender)), reports, self.now
+                )
 
     @rule()
-    def all_hear_all(self) -> None:
-        self.on_the_way.clear()
-        for sender, book in enumerate(self.books):
-            self._tell_all_others(sender, book.reports(NAMES, self.now))
-        limits = {known.limit(ENGINE, self.now) for known in self.books}
+    def all_entries_exchange_reports(self) -> None:
+        self.in_flight.clear()
+        for sender, rate_limits in enumerate(self.limits):
+            self._send_to_peers(sender, rate_limits.reports(NAMES, self.now))
+        limits = {other.limit(ENGINE, self.now) for other in self.limits}
         assert len(limits - {None}) <= 1
 
     @invariant()
-    def no_limit_is_known_that_nobody_named(self) -> None:
-        for book in self.books:
-            assert book.limit(ENGINE, self.now) in self.named
+    def only_requested_limits_are_known(self) -> None:
+        for rate_limits in self.limits:
+            assert rate_limits.limit(ENGINE, self.now) in self.requested
 
     @invariant()
-    def room_comes_back(self) -> None:
-        for book in self.books:
-            assert book.has_room(ENGINE, self.now + 40)
+    def capacity_returns(self) -> None:
+        for rate_limits in self.limits:
+            assert rate_limits.has_room(ENGINE, self.now + 40)
 
-    def _tell_all_others(
+    def _send_to_peers(
         self,
         sender: int,
-        told: tuple[LimitReport, ...],
+        reports: tuple[LimitReport, ...],
     ) -> None:
-        for place in PLACES:
-            if place != sender:
+        for entry in ENTRY_NUMBERS:
+            if entry != sender:
                 peer = PeerId(name_of(sender))
-                self.books[place].hear(peer, told, self.now)
+                self.limits[entry].hear(peer, reports, self.now)
 
 
 TestRateLimits = RateLimitMachine.TestCase
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_trials.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_trials.py
@@ -1,4 +1,4 @@
-"""Requests in doubt are tried by one attempt in the whole fleet."""
+"""Trials of suspect requests, one at a time in the whole fleet."""
 
 import pytest
 
@@ -7,117 +7,133 @@
 from ..trials import MOST_TRIES, TRIAL_TIMEOUT_SECONDS, granting_entry
 from .builders_trials import (
     BYSTANDER,
-    POISON,
-    AllAtTheEnd,
-    HeldLoad,
-    HoldPlay,
-    OneAtEachEntry,
-    OneGranted,
+    CRASHING,
+    AllAfterQuarantine,
+    OneInFleet,
+    OnePerEntry,
+    TrialLoad,
+    TrialSimulation,
 )
 from .test_quarantine import crash
 
 SEED = 1
 LOADS = (
-    HeldLoad(),
-    HeldLoad(entries=26, poison_per_s=40),
-    HeldLoad(poison_per_s=40, bystander_per_s=1),
+    TrialLoad(),
+    TrialLoad(entries=26, crashing_per_s=40),
+    TrialLoad(crashing_per_s=40, bystander_per_s=1),
 )
-OVER = 10 + DOUBT_SECONDS
+QUARANTINE_END = 10 + DOUBT_SECONDS
 
 
-def doubted(now: float = 10) -> Quarantine:
-    """Return a book in which two requests are in doubt."""
-    book = Quarantine()
+def after_three_crashes(now: float = 10) -> Quarantine:
+    """Return a quarantine of two requests that were at three crashes."""
+    quarantine = Quarantine()
     for number in range(3):
-        crash(book, f'e{number}', now)
-        crash(book, f'e{number}', now, BYSTANDER)
-    return book
+        crash(quarantine, f'e{number}', now)
+        crash(quarantine, f'e{number}', now, BYSTANDER)
+    return quarantine
 
 
 @pytest.mark.parametrize('load', LOADS)
-def test_fleet_sends_a_crashing_request_three_times_more_at_most(
-    load: HeldLoad,
+def test_fleet_sends_a_crashing_request_in_three_trials_at_most(
+    load: TrialLoad,
 ) -> None:
-    """Guards against a hold that ends at all entries at one moment."""
-    assert HoldPlay(OneGranted(load)).run(SEED).sends <= MOST_TRIES
+    """Guards against a quarantine that ends at all entries at one moment."""
+    assert TrialSimulation(OneInFleet(load)).run(SEED).sends <= MOST_TRIES
 
 
 @pytest.mark.parametrize('load', LOADS[1:])
-def test_without_grants_it_is_sent_more_often(load: HeldLoad) -> None:
-    assert HoldPlay(AllAtTheEnd(load)).run(SEED).sends > MOST_TRIES
+def test_crashing_request_is_sent_more_often_without_grants(
+    load: TrialLoad,
+) -> None:
+    assert (
+        TrialSimulation(AllAfterQuarantine(load)).run(SEED).sends > MOST_TRIES
+    )
 
 
-def test_one_at_each_entry_is_more_than_one() -> None:
-    """Guards against a bound of each entry where the harm adds up."""
-    load = HeldLoad(entries=26, poison_per_s=40)
-    assert HoldPlay(OneAtEachEntry(load)).run(SEED).sends > MOST_TRIES
+def test_one_trial_per_entry_exceeds_the_bound() -> None:
+    """Guards against a bound per entry, whose crashes add up in the fleet."""
+    load = TrialLoad(entries=26, crashing_per_s=40)
+    assert TrialSimulation(OnePerEntry(load)).run(SEED).sends > MOST_TRIES
 
 
 @pytest.mark.parametrize('load', LOADS)
-def test_bystander_is_free_soon_after_the_hold(load: HeldLoad) -> None:
-    """Guards against a popular call that is refused beside the cause."""
-    refused = HoldPlay(OneGranted(load)).run(SEED).refused_seconds
-    assert refused < DOUBT_SECONDS + 2
-
-
-def test_one_try_at_a_time() -> None:
-    book = doubted()
-    assert not book.grant_try(POISON, OVER - 1)
-    assert book.grant_try(POISON, OVER) == 1
-    assert not book.grant_try(POISON, OVER + TRIAL_TIMEOUT_SECONDS - 1)
-
-
-def test_try_whose_end_nobody_tells_is_followed_by_another() -> None:
-    """Guards against a bystander that is lost with the caller of its try."""
-    book = doubted()
-    book.grant_try(POISON, OVER)
-    assert book.grant_try(POISON, OVER + TRIAL_TIMEOUT_SECONDS) == 2
-
-
-def test_request_is_tried_three_times_for_as_long_as_its_crashes_count() -> (
-    None
-):
-    """Guards against a cause that ends an endpoint every moment."""
-    book = doubted()
+def test_bystander_is_accepted_soon_after_its_quarantine(
+    load: TrialLoad,
+) -> None:
+    """Guards against a popular request that is refused like the cause."""
+    last_refusal_at = (
+        TrialSimulation(OneInFleet(load)).run(SEED).last_refusal_at
+    )
+    assert last_refusal_at < DOUBT_SECONDS + 2
+
+
+def test_trials_do_not_overlap() -> None:
+    quarantine = after_three_crashes()
+    assert not quarantine.grant_try(CRASHING, QUARANTINE_END - 1)
+    assert quarantine.grant_try(CRASHING, QUARANTINE_END) == 1
+    assert not quarantine.grant_try(
+        CRASHING, QUARANTINE_END + TRIAL_TIMEOUT_SECONDS - 1
+    )
+
+
+def test_trial_without_known_end_is_followed_by_another() -> None:
+    """Guards against a bystander that is refused after its trial is lost."""
+    quarantine = after_three_crashes()
+    quarantine.grant_try(CRASHING, QUARANTINE_END)
+    assert (
+        quarantine.grant_try(CRASHING, QUARANTINE_END + TRIAL_TIMEOUT_SECONDS)
+        == 2
+    )
+
+
+def test_request_has_three_trials_while_its_crashes_count() -> None:
+    """Guards against a cause that crashes an endpoint after each quarantine."""
+    quarantine = after_three_crashes()
     granted = [
         now
         for now in range(int(QUARANTINE_SECONDS))
-        if book.grant_try(POISON, float(now))
+        if quarantine.grant_try(CRASHING, float(now))
     ]
     assert len(granted) == MOST_TRIES
-    assert book.seconds_to_try(POISON, 100) == 10 + QUARANTINE_SECONDS - 100
+    assert (
+        quarantine.seconds_to_try(CRASHING, 100)
+        == 10 + QUARANTINE_SECONDS - 100
+    )
 
 
-def test_request_that_nobody_is_known_to_hold_is_not_granted() -> None:
-    """Guards against an entry that grants what it has not heard of."""
-    assert not Quarantine().grant_try(POISON, 10)
+def test_request_without_known_crashes_is_granted_no_trial() -> None:
+    """Guards against grants by an entry that has not received the reports."""
+    assert not Quarantine().grant_try(CRASHING, 10)
 
 
-def test_tries_pass_to_the_entry_that_is_chosen_next() -> None:
-    """Guards against three tries more with each entry that dies."""
-    one, other = doubted(), doubted()
+def test_trials_are_reported_to_the_entry_that_is_chosen_next() -> None:
+    """Guards against three more trials after each entry that dies."""
+    first, second = after_three_crashes(), after_three_crashes()
     for number in range(MOST_TRIES):
-        assert one.grant_try(POISON, OVER + number * TRIAL_TIMEOUT_SECONDS)
-    later = OVER + MOST_TRIES * TRIAL_TIMEOUT_SECONDS
-    other.hear(one.book.in_turn(later), later)
-    assert not other.grant_try(POISON, later + TRIAL_TIMEOUT_SECONDS)
+        assert first.grant_try(
+            CRASHING, QUARANTINE_END + number * TRIAL_TIMEOUT_SECONDS
+        )
+    later = QUARANTINE_END + MOST_TRIES * TRIAL_TIMEOUT_SECONDS
+    second.hear(first.book.in_turn(later), later)
+    assert not second.grant_try(CRASHING, later + TRIAL_TIMEOUT_SECONDS)
 
 
-def test_answer_to_a_try_frees_the_request_everywhere() -> None:
+def test_answer_to_a_trial_ends_the_suspicion_at_all_entries() -> None:
     """Guards against a bystander that is refused after it was cleared."""
-    one, other = doubted(), doubted()
-    one.grant_try(BYSTANDER, OVER)
-    one.answered(BYSTANDER, OVER + 1)
-    other.hear(one.book.news(OVER + 1), OVER + 1)
-    assert not other.is_held(BYSTANDER, OVER + 1)
-    assert not other.is_in_doubt(BYSTANDER, OVER + 1)
+    first, second = after_three_crashes(), after_three_crashes()
+    first.grant_try(BYSTANDER, QUARANTINE_END)
+    first.answered(BYSTANDER, QUARANTINE_END + 1)
+    second.hear(first.book.news(QUARANTINE_END + 1), QUARANTINE_END + 1)
+    assert not second.is_held(BYSTANDER, QUARANTINE_END + 1)
+    assert not second.is_in_doubt(BYSTANDER, QUARANTINE_END + 1)
 
 
-def test_grants_move_little_when_an_entry_dies() -> None:
-    """Guards against grants that all change hands with one entry."""
-    names = [f'entry-{number}' for number in range(10)]
+def test_few_requests_change_their_granting_entry_when_an_entry_dies() -> None:
+    """Guards against a new granting entry for all requests at once."""
+    entries = [f'entry-{number}' for number in range(10)]
     digests = [str(number).zfill(16).encode() for number in range(200)]
-    before = [granting_entry(one, names) for one in digests]
-    after = [granting_entry(one, names[1:]) for one in digests]
-    moved = [one != other for one, other in zip(before, after, strict=True)]
-    assert sum(moved) == before.count(names[0])
+    before = [granting_entry(digest, entries) for digest in digests]
+    after = [granting_entry(digest, entries[1:]) for digest in digests]
+    moved = [old != new for old, new in zip(before, after, strict=True)]
+    assert sum(moved) == before.count(entries[0])
