--- a/packages/sycamore-core/src/sycamore_core/decisions/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/__init__.py
@@ -1,7 +1,7 @@
-"""Decisions under load: pure modules with no network, clock or randomness.
+"""Scheduling decisions: pure modules without network, clock or randomness.
 
-Time comes in as `now`, in seconds on a monotonic clock, and randomness as a
-function that returns numbers from 0 to 1.
+The caller passes the time as `now`, in seconds on a monotonic clock, and the
+randomness as a function that returns numbers from 0 to 1.
 """
 
 from .fair import FairScheduler
--- a/packages/sycamore-core/src/sycamore_core/decisions/affinity.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/affinity.py
@@ -1,12 +1,12 @@
-"""Which endpoints are believed to cache the beginning of a prompt.
+"""Index of the endpoints that probably cache a prompt prefix.
 
-Load pattern: conversations whose next turn repeats all turns before it, and
-one prompt that thousands of callers share. Cache events of engines come late
-and with gaps, so the index is fed mostly by what this entry itself has sent.
+Load pattern: conversations in which each request repeats the previous prompt,
+and one prompt that thousands of callers share. Cache events of engines arrive
+late and with gaps, so the index relies mainly on what this entry has sent.
 
-Without it: every turn of a conversation is computed from its first token on
-whichever endpoint is next. Without its bound, the index grows with every
-prompt ever seen until the process is killed for its memory.
+Without the index, the whole prompt of each request of a conversation is
+computed again on an arbitrary endpoint. Without its size limit, the index
+grows with every new prompt until the process runs out of memory.
 """
 
 import bisect
@@ -22,41 +22,45 @@
 from ..ids import BlockHash, EndpointId, ServiceId
 from .pool import Candidate, CandidatePool
 
-#: Blocks that an index remembers: ten of each prompt of 10,000 tokens in blocks
-#: of 256. The benchmark gives the memory that they take.
+#: Maximum number of blocks in an index. A prompt of 10,000 tokens in blocks of
+#: 256 tokens takes ten. The benchmark `decision_cost` gives the memory used.
 INDEX_BLOCKS = 20_000
-#: Endpoints that one block is remembered for, those used last.
-HOLDERS = 32
-#: Holders after which shallower blocks are not looked at.
-ENOUGH_HOLDERS = 4
-#: Age at which a record is no longer believed, in seconds. An engine that
-#: computes 10,000 tokens a second fills a memory of 2,000,000 in 200 s.
-BELIEVED_SECONDS = 300.0
-#: Age from which a record is renewed, in seconds. Instructions that all callers
-#: share would otherwise be recorded again with each request.
-REFRESH_SECONDS = 10.0
-#: Up to this position every block is recorded, beyond it two a doubling. Eight
-#: and four found no more, and cost a quarter more time a placement.
+#: Maximum number of endpoints recorded for one block, the latest ones.
+MAX_HOLDERS_PER_BLOCK = 32
+#: Number of holders found at which a lookup skips the shallower blocks.
+SUFFICIENT_HOLDERS = 4
+#: Age at which a record is ignored, in seconds. An engine that computes 10,000
+#: tokens per second fills a memory of 2,000,000 tokens in 200 s.
+RECORD_LIFETIME_SECONDS = 300.0
+#: Minimum age at which a record is renewed, in seconds. Without it, an
+#: instruction that all callers share is recorded again with each request.
+RECORD_REFRESH_SECONDS = 10.0
+#: Every block before this position is recorded; beyond it, two blocks for each
+#: doubling of the position. Values of 8 and 4 found no more matches and took a
+#: quarter more time per placement.
 _DENSE_BLOCKS = 4
-_PER_DOUBLING = 2
-#: Position of the block whose hash chooses the home of a new prompt. Blocks
-#: before it are often an instruction that all callers of a service share.
-HOME_POSITION = 7
+_RECORDS_PER_DOUBLING = 2
+#: Position of the block whose hash selects the home endpoint of a new prompt.
+#: Earlier blocks are often an instruction that all callers of a service share.
+HOME_KEY_POSITION = 7
 _POINTS_PER_ENDPOINT = 16
-#: Odd number close to the golden part of 2**64, which spreads close keys.
-_SPREAD = 0x9E3779B97F4A7C15
+#: Multiplier of Fibonacci hashing: an odd number close to 2**64 divided by the
+#: golden ratio, which spreads keys that are close to each other.
+_HASH_MULTIPLIER = 0x9E3779B97F4A7C15
 _HASH_BITS = 64
-_REMEMBERED_RESULTS = 4096
+_CACHED_RESULTS = 4096
 
 
-class _Block(msgspec.Struct):
+class _BlockRecord(msgspec.Struct):
     uses: int
     holders: dict[EndpointId, float]
 
-    def is_older(self, endpoint: EndpointId, now: float) -> bool:
-        return now - self.holders.get(endpoint, -math.inf) > REFRESH_SECONDS
+    def needs_refresh(self, endpoint: EndpointId, now: float) -> bool:
+        return (
+            now - self.holders.get(endpoint, -math.inf) > RECORD_REFRESH_SECONDS
+        )
 
-    def add_believed(
+    def add_recent_holders(
         self,
         found: dict[EndpointId, int],
         depth: int,
@@ -67,44 +71,44 @@
                 found[endpoint] = depth
 
 
-class Matches(msgspec.Struct, frozen=True):
-    """What an index knows of the beginning of a prompt.
+class PrefixMatches(msgspec.Struct, frozen=True):
+    """Result of looking up a prompt in a `PrefixIndex`.
 
     Attributes
     ----------
     blocks
-        Number of blocks that each endpoint is believed to cache.
+        Number of leading blocks that each endpoint probably caches.
     uses
-        Number of prompts that began like this one as far as it is known; 0
-        if nothing of it is known.
+        Number of recorded prompts that share the longest known prefix; 0 if
+        no prefix is known.
     """
 
     blocks: Mapping[EndpointId, int] = {}
     uses: int = 0
 
     @property
-    def deepest(self) -> int:
-        """The largest number of blocks that an endpoint caches."""
+    def longest_match(self) -> int:
+        """Largest number of blocks that any endpoint caches."""
         return max(self.blocks.values(), default=0)
 
 
 class PrefixIndex:
-    """Blocks that were sent to endpoints lately, the oldest dropped first.
+    """LRU index of the blocks that were recently sent to each endpoint.
 
-    A block hash stands for a block and all before it, so the deepest block
-    that is found gives the whole match.
+    A block hash covers the block and all blocks before it, so the deepest
+    block that is found gives the length of the match.
 
     Examples
     --------
     >>> index = PrefixIndex()
     >>> index.record((11, 12, 13), 'e1', now=0)
     >>> index.matches((11, 12, 99), now=1)
-    Matches(blocks={'e1': 2}, uses=1)
+    PrefixMatches(blocks={'e1': 2}, uses=1)
     """
 
     def __init__(self, limit: int = INDEX_BLOCKS) -> None:
         self.limit = limit
-        self.known: OrderedDict[BlockHash, _Block] = OrderedDict()
+        self.block_records: OrderedDict[BlockHash, _BlockRecord] = OrderedDict()
 
     def record(
         self,
@@ -112,65 +116,65 @@
         endpoint: EndpointId,
         now: float,
     ) -> None:
-        """Note that an endpoint computes or caches a prompt."""
+        """Record that an endpoint computes or caches a prompt."""
         for position in recorded_positions(len(blocks)):
             block = blocks[position]
-            known = self.known.get(block)
-            if known is None or known.is_older(endpoint, now):
-                known = self.record_block(block, endpoint, now)
-            known.uses += 1
+            record = self.block_records.get(block)
+            if record is None or record.needs_refresh(endpoint, now):
+                record = self.record_block(block, endpoint, now)
+            record.uses += 1
 
     def record_block(
         self,
         block: BlockHash,
         endpoint: EndpointId,
         now: float,
-    ) -> _Block:
-        """Note that an endpoint caches the prompt up to a block."""
-        known = self.known.get(block)
-        if known is None:
-            return self._add(block, endpoint, now)
-        self.known.move_to_end(block)
-        known.holders.pop(endpoint, None)
-        known.holders[endpoint] = now
-        if len(known.holders) > HOLDERS:
-            known.holders.pop(next(iter(known.holders)))
-        return known
-
-    def matches(self, blocks: Sequence[BlockHash], now: float) -> Matches:
-        """Return the endpoints that cache most of a prompt."""
+    ) -> _BlockRecord:
+        """Record that an endpoint caches the prompt up to a block."""
+        record = self.block_records.get(block)
+        if record is None:
+            return self._add_record(block, endpoint, now)
+        self.block_records.move_to_end(block)
+        record.holders.pop(endpoint, None)
+        record.holders[endpoint] = now
+        if len(record.holders) > MAX_HOLDERS_PER_BLOCK:
+            record.holders.pop(next(iter(record.holders)))
+        return record
+
+    def matches(self, blocks: Sequence[BlockHash], now: float) -> PrefixMatches:
+        """Return the endpoints that cache the longest prefixes of a prompt."""
         found: dict[EndpointId, int] = {}
         uses = 0
-        oldest = now - BELIEVED_SECONDS
+        oldest = now - RECORD_LIFETIME_SECONDS
         for position in reversed(recorded_positions(len(blocks))):
-            known = self.known.get(blocks[position])
-            if known is None:
+            record = self.block_records.get(blocks[position])
+            if record is None:
                 continue
-            uses = uses or known.uses
-            known.add_believed(found, position + 1, oldest)
-            if len(found) >= ENOUGH_HOLDERS:
+            uses = uses or record.uses
+            record.add_recent_holders(found, position + 1, oldest)
+            if len(found) >= SUFFICIENT_HOLDERS:
                 break
-        return Matches(found, uses)
+        return PrefixMatches(found, uses)
 
-    def _add(
+    def _add_record(
         self,
         block: BlockHash,
         endpoint: EndpointId,
         now: float,
-    ) -> _Block:
-        known = _Block(0, {endpoint: now})
-        self.known[block] = known
-        if len(self.known) > self.limit:
-            self.known.popitem(last=False)
-        return known
+    ) -> _BlockRecord:
+        record = _BlockRecord(0, {endpoint: now})
+        self.block_records[block] = record
+        if len(self.block_records) > self.limit:
+            self.block_records.popitem(last=False)
+        return record
 
 
 class HomeRing:
-    """The endpoint that a new prompt goes to, the same at every entry.
+    """Consistent hash ring that gives each new prompt a home endpoint.
 
-    Entries do not tell each other what they send. A hash of the prompt makes
-    them choose the same endpoint without a message, so the next turn of a
-    conversation that comes through another entry finds its cache.
+    Entries do not exchange the prompts they send. All entries compute the
+    same home from the hash of a prompt, so the next request of a conversation
+    finds its cache even if it arrives at another entry.
     """
 
     def __init__(self) -> None:
@@ -181,7 +185,7 @@
         blocks: Sequence[BlockHash],
         pool: CandidatePool,
     ) -> Iterable[Candidate]:
-        """Return the candidate that the hash of a prompt chooses, if any."""
+        """Return the home of a prompt, or nothing if it is not a candidate."""
         if not len(pool):
             return ()
         service = pool[0].view.service
@@ -189,7 +193,7 @@
         if ring is None or ring.generation != pool.generation:
             ring = _Ring.from_pool(pool)
             self.rings[service] = ring
-        key = blocks[min(len(blocks) - 1, HOME_POSITION)]
+        key = blocks[min(len(blocks) - 1, HOME_KEY_POSITION)]
         home = pool.find(ring.home(key))
         return () if home is None else (home,)
 
@@ -203,23 +207,23 @@
         points = sorted(
             point
             for candidate in pool
-            for point in _points(candidate.view.endpoint)
+            for point in _ring_points(candidate.view.endpoint)
         )
         return cls(pool.generation, points)
 
     def home(self, key: BlockHash) -> EndpointId:
-        point = key * _SPREAD % (1 << _HASH_BITS)
-        place = bisect.bisect(self.points, (point, ''))
-        return self.points[place % len(self.points)][1]
+        point = key * _HASH_MULTIPLIER % (1 << _HASH_BITS)
+        index = bisect.bisect(self.points, (point, ''))
+        return self.points[index % len(self.points)][1]
 
 
-@functools.lru_cache(maxsize=_REMEMBERED_RESULTS)
+@functools.lru_cache(maxsize=_CACHED_RESULTS)
 def recorded_positions(blocks: int) -> tuple[int, ...]:
-    """Return the positions at which a prompt of so many blocks is recorded.
+    """Return the positions at which a prompt of `blocks` blocks is recorded.
 
-    They are dense at first and then half a doubling apart, so a prompt of a
-    million tokens takes few records and a match is underestimated by a third
-    at most.
+    The first positions are consecutive; later ones follow at two per doubling.
+    A prompt of a million tokens thus takes few records, and the length of a
+    match is underestimated by at most a third.
 
     Examples
     --------
@@ -227,18 +231,22 @@
     (0, 1, 2, 3, 5, 7, 11, 15)
     """
     positions = list(range(min(blocks, _DENSE_BLOCKS)))
-    step = _DENSE_BLOCKS // _PER_DOUBLING
+    step = _DENSE_BLOCKS // _RECORDS_PER_DOUBLING
     depth = _DENSE_BLOCKS
     while depth < blocks:
-        depths = range(depth + step, depth * 2 + 1, step)
-        positions.extend(reach - 1 for reach in depths if reach <= blocks)
+        block_counts = range(depth + step, depth * 2 + 1, step)
+        positions.extend(
+            block_count - 1
+            for block_count in block_counts
+            if block_count <= blocks
+        )
         depth *= 2
         step *= 2
     return tuple(positions)
 
 
-@functools.lru_cache(maxsize=_REMEMBERED_RESULTS)
-def _points(endpoint: EndpointId) -> tuple[tuple[int, EndpointId], ...]:
+@functools.lru_cache(maxsize=_CACHED_RESULTS)
+def _ring_points(endpoint: EndpointId) -> tuple[tuple[int, EndpointId], ...]:
     return tuple(
         (stable_hash(f'{endpoint}#{number}'), endpoint)
         for number in range(_POINTS_PER_ENDPOINT)
--- a/packages/sycamore-core/src/sycamore_core/decisions/endpoint_book.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/endpoint_book.py
@@ -1,9 +1,10 @@
-"""All endpoints that an entry knows, with what it has sent to each.
+"""Registry of the endpoints of an entry and of the work sent to each.
 
-Load pattern: endpoints that come, go, drain, slow down and fail while requests
-are on their way to them.
+Load pattern: endpoints join, leave, drain, slow down and fail while requests
+are in flight to them.
 
-Without it: each of these would be noticed only by the next report, or never.
+Without this registry, the entry would notice such a change only at the next
+load report, or not at all.
 """
 
 from collections.abc import Container, Iterable
@@ -14,107 +15,110 @@
 from ..states import EndpointKind, EndpointPhase, Outcome, RefusalReason
 from .health import EndpointHealth, Observation, ObservationKind
 from .outstanding import Sent
-from .pace import PacedWeights
 from .scheduler import Refusal
 from .service_queue import ServiceQueue
 from .tracked import WINDOW_SECONDS, TrackedCandidate
 from .views import EndpointView
+from .weight_ramp import WeightRamp
 
-#: How often the weights follow the health of the endpoints, in seconds: once a
-#: report, which is as often as something new is known.
-WEIGHT_SECONDS = 1.0
-#: Refusals after which an endpoint takes no work until its next report.
-_CLOSING = frozenset(
+#: Interval at which the weights are updated from the health of the endpoints,
+#: in seconds: the interval of load reports, which bring the new information.
+WEIGHT_INTERVAL_SECONDS = 1.0
+#: Refusals after which an endpoint receives no work until its next report.
+_CLOSING_REASONS = frozenset(
     (
         RefusalReason.DRAINING,
         RefusalReason.WRONG_INCARNATION,
         RefusalReason.SHUTTING_DOWN,
     ),
 )
-#: Refusals after which its memory counts as full until its next report.
-_FULL = frozenset((RefusalReason.MEMORY_FULL, RefusalReason.BACKLOG_FULL))
+#: Refusals after which the memory of an endpoint counts as full until its next
+#: report.
+_FULL_REASONS = frozenset(
+    (RefusalReason.MEMORY_FULL, RefusalReason.BACKLOG_FULL)
+)
 
 
-class _Entry(msgspec.Struct):
+class _EndpointRecord(msgspec.Struct):
     queue: ServiceQueue
     candidate: TrackedCandidate
     report: EndpointView
 
 
 class EndpointBook:
-    """The endpoints of all services."""
+    """State of the endpoints of all services."""
 
     def __init__(self) -> None:
-        self.entries: dict[EndpointId, _Entry] = {}
+        self.entries: dict[EndpointId, _EndpointRecord] = {}
         self.health = EndpointHealth()
-        self.pace = PacedWeights()
-        self._weighed_at = -WEIGHT_SECONDS
+        self.weight_ramp = WeightRamp()
+        self._weights_updated_at = -WEIGHT_INTERVAL_SECONDS
 
     def views(self) -> tuple[EndpointView, ...]:
         """Return the last report of each endpoint."""
-        return tuple(entry.report for entry in self.entries.values())
+        return tuple(record.report for record in self.entries.values())
 
     def unknown(self, names: Container[EndpointId]) -> list[EndpointId]:
         """Return the endpoints that are not among `names`."""
         return [name for name in self.entries if name not in names]
 
     def take_report(self, queue: ServiceQueue, view: EndpointView) -> None:
-        """Take a report of an endpoint."""
-        entry = self.entries.get(view.endpoint)
-        if entry is not None and entry.queue is not queue:
+        """Apply a load report of an endpoint."""
+        record = self.entries.get(view.endpoint)
+        if record is not None and record.queue is not queue:
             self.remove(view.endpoint)
-            entry = None
-        if entry is None:
-            entry = _Entry(queue, TrackedCandidate(view=view), view)
-            self.entries[view.endpoint] = entry
-            queue.pool.put(entry.candidate)
+            record = None
+        if record is None:
+            record = _EndpointRecord(queue, TrackedCandidate(view=view), view)
+            self.entries[view.endpoint] = record
+            queue.pool.put(record.candidate)
         queue.speed.take_report(view)
-        entry.report = view
-        entry.candidate.take_report(view)
-        self._refresh(entry)
-        queue.pool.forget_live()
+        record.report = view
+        record.candidate.apply_report(view)
+        self._refresh(record)
+        queue.pool.invalidate_live_weight()
 
     def remove(self, endpoint: EndpointId) -> None:
-        """Forget an endpoint; what was sent there is told by `lost`."""
-        entry = self.entries.pop(endpoint, None)
-        if entry is None:
+        """Remove an endpoint; the caller handles the requests sent there."""
+        record = self.entries.pop(endpoint, None)
+        if record is None:
             return
-        entry.queue.pool.forget(endpoint)
+        record.queue.pool.remove_everywhere(endpoint)
         self.health.forget(endpoint)
 
     def refresh_weights(self, now: float) -> None:
-        """Let the weights follow the health of the endpoints, if it is time."""
-        if now - self._weighed_at < WEIGHT_SECONDS:
+        """Update the weights from the endpoints' health if the time is due."""
+        if now - self._weights_updated_at < WEIGHT_INTERVAL_SECONDS:
             return
-        self._weighed_at = now
+        self._weights_updated_at = now
         targets = self.health.weights(self.entries, now)
-        weights = self.pace.update(targets, now)
-        for name, entry in self.entries.items():
-            entry.candidate.weight = weights.get(name, 1)
-            self._refresh(entry)
-            entry.queue.pool.forget_live()
+        weights = self.weight_ramp.update(targets, now)
+        for name, record in self.entries.items():
+            record.candidate.weight = weights.get(name, 1)
+            self._refresh(record)
+            record.queue.pool.invalidate_live_weight()
 
     def note_sent(self, sent: Sent) -> None:
-        """Note that a request is offered to an endpoint or a group."""
-        charged = self._of(sent)
-        sent.holders = tuple(entry.candidate for entry in charged)
-        for entry in charged:
+        """Record that a request is offered to an endpoint or a group."""
+        charged = self._records_of(sent)
+        sent.holders = tuple(record.candidate for record in charged)
+        for record in charged:
             band = sent.waiting.request.band
-            ahead = entry.candidate.tokens_ahead(band)
+            ahead = record.candidate.tokens_ahead(band)
             sent.tokens_ahead = ahead + sent.new_tokens
-            entry.candidate.add(
+            record.candidate.add_request(
                 sent.waiting.request,
                 sent.lease_tokens,
                 sent.new_tokens,
             )
-            self._refresh(entry)
+            self._refresh(record)
 
     def note_accepted(self, sent: Sent, now: float) -> None:
-        """Note that the endpoint has taken the request."""
+        """Record that the endpoint has accepted the request."""
         expected = WINDOW_SECONDS
-        entry = self.entries.get(sent.endpoint)
-        if entry is not None:
-            expected += sent.new_tokens / entry.candidate.rate
+        record = self.entries.get(sent.endpoint)
+        if record is not None:
+            expected += sent.new_tokens / record.candidate.rate
         self._observe(
             sent,
             Observation(
@@ -125,35 +129,35 @@
         )
 
     def note_declined(self, sent: Sent, refusal: Refusal) -> None:
-        """Believe an endpoint that says it is full or closing."""
-        for entry in self._of(sent):
-            view = entry.candidate.view
-            if refusal.reason in _CLOSING:
+        """Stop sending to endpoints that report being full or draining."""
+        for record in self._records_of(sent):
+            view = record.candidate.view
+            if refusal.reason in _CLOSING_REASONS:
                 view.phase = EndpointPhase.DRAINING
-                entry.queue.pool.forget_live()
-            elif refusal.reason in _FULL and view.capacity_tokens:
+                record.queue.pool.invalidate_live_weight()
+            elif refusal.reason in _FULL_REASONS and view.capacity_tokens:
                 view.free_tokens = 0
-            self._refresh(entry)
+            self._refresh(record)
 
     def note_failed(self, sent: Sent, now: float) -> None:
-        """Note that an endpoint has failed a request."""
+        """Record that a request has failed at an endpoint."""
         self._observe(sent, Observation(kind=ObservationKind.FAILED), now)
 
     def note_first_token(self, sent: Sent, now: float) -> None:
-        """Note that a prompt has been computed."""
-        for holder in self._charged(sent):
+        """Record the first token: the prompt has been computed."""
+        for holder in self._charged_records(sent):
             holder.candidate.clear_pending(
                 sent.waiting.request,
                 sent.new_tokens,
             )
             self._refresh(holder)
         seconds = now - sent.sent_at
-        entry = self.entries.get(sent.endpoint)
-        if entry is None:
+        record = self.entries.get(sent.endpoint)
+        if record is None:
             return
         if not sent.members:
-            entry.candidate.note_first_token(seconds, sent.tokens_ahead)
-        expected = WINDOW_SECONDS + sent.new_tokens / entry.candidate.rate
+            record.candidate.record_first_token(seconds, sent.tokens_ahead)
+        expected = WINDOW_SECONDS + sent.new_tokens / record.candidate.rate
         self._observe(
             sent,
             Observation(
@@ -164,17 +168,17 @@
         )
 
     def note_gone(self, sent: Sent) -> None:
-        """Note that a request is no longer at its endpoints."""
+        """Record that a request no longer occupies its endpoints."""
         request = sent.waiting.request
-        for entry in self._charged(sent):
+        for record in self._charged_records(sent):
             if sent.first_token_at is None:
-                entry.candidate.clear_pending(request, sent.new_tokens)
-            entry.candidate.drop(request, sent.lease_tokens)
-            self._refresh(entry)
+                record.candidate.clear_pending(request, sent.new_tokens)
+            record.candidate.remove_request(request, sent.lease_tokens)
+            self._refresh(record)
 
     def note_finished(self, sent: Sent, outcome: Outcome, now: float) -> None:
-        """Learn from the end of an answer."""
-        entry = self.entries.get(sent.endpoint)
+        """Update health and speed estimates from the end of an answer."""
+        record = self.entries.get(sent.endpoint)
         if sent.first_token_at is None or outcome == Outcome.FAILED:
             failed = outcome == Outcome.FAILED
             kind = (
@@ -182,37 +186,39 @@
             )
             self._observe(sent, Observation(kind=kind), now)
             return
-        if entry is None or outcome != Outcome.COMPLETE:
+        if record is None or outcome != Outcome.COMPLETE:
             return
-        view = entry.candidate.view
+        view = record.candidate.view
         seconds = now - sent.first_token_at
         if view.kind == EndpointKind.PLAIN:
-            entry.queue.speed.take_call(now - sent.sent_at)
+            record.queue.speed.take_call(now - sent.sent_at)
         elif view.step_seconds > 0:
             tokens = 1 + seconds / view.step_seconds
-            entry.queue.speed.take_output(sent.waiting.request, tokens)
+            record.queue.speed.take_output(sent.waiting.request, tokens)
 
-    def _charged(self, sent: Sent) -> Iterable[_Entry]:
-        """Return the endpoints that were charged and are still the same.
+    def _charged_records(self, sent: Sent) -> Iterable[_EndpointRecord]:
+        """Return the charged endpoints that have not been replaced since.
 
-        What goes wrong otherwise: an endpoint falls silent, comes back, and
-        what was sent before is taken off the new one; its counts go below
-        zero, and it looks emptier than it is for as long as it lives.
+        Without this check, work sent before an endpoint was lost is deducted
+        from its successor after it returns. The counts of the successor then
+        become negative, and its load is underestimated permanently.
         """
         return [
-            entry
-            for entry in self._of(sent)
-            if any(entry.candidate is holder for holder in sent.holders)
+            record
+            for record in self._records_of(sent)
+            if any(record.candidate is holder for holder in sent.holders)
         ]
 
-    def _of(self, sent: Sent) -> Iterable[_Entry]:
+    def _records_of(self, sent: Sent) -> Iterable[_EndpointRecord]:
         found = (self.entries.get(name) for name in sent.endpoints)
-        return [entry for entry in found if entry is not None]
+        return [record for record in found if record is not None]
 
-    def _observe(self, sent: Sent, seen: Observation, now: float) -> None:
+    def _observe(
+        self, sent: Sent, observation: Observation, now: float
+    ) -> None:
         if sent.endpoint in self.entries:
-            self.health.observe(sent.endpoint, seen, now)
+            self.health.observe(sent.endpoint, observation, now)
 
-    def _refresh(self, entry: _Entry) -> None:
-        entry.queue.pool.refresh(entry.candidate)
-        entry.queue.pool.version += 1
+    def _refresh(self, record: _EndpointRecord) -> None:
+        record.queue.pool.refresh(record.candidate)
+        record.queue.pool.version += 1
--- a/packages/sycamore-core/src/sycamore_core/decisions/explain.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/explain.py
@@ -1,10 +1,10 @@
-"""Replays one decision from a JSON document, for an operator who asks why.
+"""Replay of one decision from a JSON document, for operators.
 
-Load pattern: a caller was refused, or waited, or went to an unexpected
-endpoint, and somebody wants to know the reason afterwards.
+Load pattern: a request was refused, delayed or sent to an unexpected endpoint,
+and an operator asks for the reason afterwards.
 
-Without it: one would have to read the code with the figures of a log line in
-hand. The replay runs the very modules that decided.
+Without the replay, the operator has to read the code and apply it to the
+figures of a log line. The replay runs the same modules that made the decision.
 
 Examples
 --------
@@ -29,16 +29,16 @@
 
 
 def explain(case: bytes) -> Explanation:
-    """Replay the decision of a JSON document.
+    """Replay the decision that a JSON document describes.
 
     Raises
     ------
     DecisionError
-        If the document is no decision that can be replayed; the message
-        names the place.
+        If the document does not describe a decision that can be replayed. The
+        message names the location of the fault.
     """
     try:
         decoded = _decoder.decode(case)
     except msgspec.DecodeError as error:
-        raise DecisionError(f'not a decision: {error}') from error
+        raise DecisionError(f'invalid decision document: {error}') from error
     return replay(decoded)
--- a/packages/sycamore-core/src/sycamore_core/decisions/explain_cases.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/explain_cases.py
@@ -1,7 +1,7 @@
-"""The decisions that can be replayed, as JSON documents.
+"""JSON schemas of the decisions that can be replayed.
 
-Each document names its `decision` and carries all that the decision depends
-on: times, draws and what came before.
+Each document names its `decision` and contains all inputs of the decision:
+times, random draws and earlier events.
 """
 
 from collections.abc import Mapping, Sequence
@@ -26,12 +26,12 @@
     tag='admission',
     forbid_unknown_fields=True,
 ):
-    """Whether a request is let into the queue.
+    """Whether a request is admitted to the queue.
 
     Attributes
     ----------
     draws
-        The random numbers, used in order and again from the first on.
+        Random numbers that are used in order and repeated when exhausted.
     """
 
     request: RequestView
@@ -47,14 +47,14 @@
     tag='schedule',
     forbid_unknown_fields=True,
 ):
-    """What the whole scheduler of an entry decides of a request.
+    """Decision of the whole scheduler of an entry about a request.
 
     Attributes
     ----------
     tree
         The published settings tree.
     requests
-        All requests by their arrivals; the last one is explained.
+        All requests in order of arrival; the last one is explained.
     """
 
     tree: msgspec.Raw
@@ -65,7 +65,7 @@
 
 
 class EarlierSend(msgspec.Struct, frozen=True):
-    """A prompt that the entry sent to an endpoint before."""
+    """A prompt that the entry has sent to an endpoint earlier."""
 
     blocks: tuple[BlockHash, ...]
     endpoint: EndpointId
@@ -79,14 +79,14 @@
     tag='placement',
     forbid_unknown_fields=True,
 ):
-    """Where a request goes.
+    """Which endpoint a request is sent to.
 
     Attributes
     ----------
     zone, zones
         Zone of the entry, and the region of each zone.
     earlier
-        What the entry remembers of prompts, in order.
+        Prompts that the entry has sent earlier, in order.
     """
 
     request: RequestView
@@ -106,12 +106,12 @@
     tag='retry',
     forbid_unknown_fields=True,
 ):
-    """Whether a request is tried again.
+    """Whether a request is retried.
 
     Attributes
     ----------
     answered
-        First tries of the same moment that were answered.
+        Number of answered first attempts that precede the decision.
     """
 
     failure: FailedAttempt
@@ -121,7 +121,7 @@
 
 
 class Seen(msgspec.Struct, frozen=True):
-    """An observation at an endpoint."""
+    """An observation at an endpoint, with its time in seconds."""
 
     endpoint: EndpointId
     at: float
@@ -135,7 +135,7 @@
     tag='health',
     forbid_unknown_fields=True,
 ):
-    """What an endpoint's health allows it."""
+    """State and weight that the health of an endpoint results in."""
 
     endpoint: EndpointId
     endpoints: Sequence[EndpointId]
@@ -144,7 +144,7 @@
 
 
 class PaceUpdate(msgspec.Struct, frozen=True):
-    """Targets that were set at a moment."""
+    """Target weights that are set at one time, in seconds."""
 
     at: float
     targets: Mapping[EndpointId, float]
--- a/packages/sycamore-core/src/sycamore_core/decisions/explanation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/explanation.py
@@ -1,4 +1,4 @@
-"""What a replayed decision is told as."""
+"""Result of the replay of a decision."""
 
 import msgspec
 
@@ -11,21 +11,23 @@
 
 
 class Explanation(msgspec.Struct, frozen=True, kw_only=True):
-    """A decision, its reason, and the figures behind it."""
+    """A decision, its reason, and the figures it is based on."""
 
     decision: str
     reason: str
     figures: tuple[Figure, ...] = ()
 
     def __str__(self) -> str:
-        """Return the explanation as text, a line each."""
+        """Return the explanation as text, one item per line."""
         lines = [f'decision: {self.decision}', f'reason: {self.reason}']
-        lines.extend(f'{entry.name}: {entry.shown}' for entry in self.figures)
+        lines.extend(
+            f'{figure.name}: {figure.shown}' for figure in self.figures
+        )
         return '\n'.join(lines)
 
 
 def figures(**named: object) -> tuple[Figure, ...]:
-    """Return figures by the names of the arguments."""
+    """Return one figure per keyword argument, labelled by its name."""
     return tuple(
         Figure(name.replace('_', ' '), shown(figure))
         for name, figure in named.items()
@@ -33,7 +35,7 @@
 
 
 def shown(figure: object) -> str:
-    """Return a figure as text, numbers rounded."""
+    """Return a figure as text; floats are rounded to four digits."""
     if isinstance(figure, float):
         return str(round(figure, 4))
     return str(figure)
--- a/packages/sycamore-core/src/sycamore_core/decisions/group_member.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/group_member.py
@@ -1,24 +1,24 @@
-"""What the leader of a group knows of one member."""
+"""State that the leader of a group keeps for one member."""
 
 import enum
 import math
 
 from ..ids import EndpointId
-from .group_times import LEASE_SECONDS, RENEW_SECONDS
+from .group_times import LEASE_SECONDS, RENEW_INTERVAL_SECONDS
 
 
-class MemberState(enum.StrEnum):
-    """Where one member stands."""
+class GroupMemberState(enum.StrEnum):
+    """State of the reservation at one member."""
 
     WAITING = 'waiting'
-    ASKED = 'asked'
+    REQUESTED = 'asked'
     HELD = 'held'
-    ENDING = 'ending'
-    ENDED = 'ended'
+    RELEASING = 'ending'
+    RELEASED = 'ended'
 
 
 class GroupMember:
-    """One span, the lease on it, and the requests sent for it.
+    """One span, its lease, and the requests sent for it.
 
     Parameters
     ----------
@@ -32,55 +32,61 @@
         self.endpoint = endpoint
         self.span = span
         self.tokens = tokens
-        self.state = MemberState.WAITING
+        self.state = GroupMemberState.WAITING
         self.lease_seconds = LEASE_SECONDS
-        self.held_until = -math.inf
+        self.lease_expires_at = -math.inf
         self.next_send_at = -math.inf
         self.declined = False
-        self.releases = 0
+        self.releases_sent = 0
         self._sent_at: list[float] = []
 
-    def note_send(self, now: float, interval: float) -> int:
-        """Note a request to reserve or renew; return its number, from 1."""
-        if self.state == MemberState.WAITING:
-            self.state = MemberState.ASKED
+    def record_request(self, now: float, interval: float) -> int:
+        """Record a reserve or renew request; return its number, from 1."""
+        if self.state == GroupMemberState.WAITING:
+            self.state = GroupMemberState.REQUESTED
         self._sent_at.append(now)
         self.next_send_at = now + interval
         return len(self._sent_at)
 
-    def grant(self, number: int) -> None:
-        """Count the lease from the moment the answered request was sent.
+    def apply_grant(self, number: int) -> None:
+        """Extend the lease from the time the answered request was sent.
 
-        Answers come late and twice. Counted from their arrival, an old one
-        would stretch the lease beyond what the member keeps.
+        Answers may be late or duplicated. If the lease started when the answer
+        arrives, an old answer would extend it beyond what the member grants.
         """
-        if self.state == MemberState.WAITING or not self._sent_at:
+        if self.state == GroupMemberState.WAITING or not self._sent_at:
             return
-        # A member that does not return the number may mean the first request.
+        # An answer without a number may refer to the first request.
         sent_at = self._sent_at[max(number, 1) - 1]
-        if self.state == MemberState.ASKED:
-            self.next_send_at = sent_at + RENEW_SECONDS
-        self.state = MemberState.HELD
-        self.held_until = max(self.held_until, sent_at + self.lease_seconds)
-
-    def decline(self, ask_again_at: float) -> None:
-        """Note that the member has no room now."""
+        if self.state == GroupMemberState.REQUESTED:
+            self.next_send_at = sent_at + RENEW_INTERVAL_SECONDS
+        self.state = GroupMemberState.HELD
+        self.lease_expires_at = max(
+            self.lease_expires_at, sent_at + self.lease_seconds
+        )
+
+    def record_decline(self, retry_at: float) -> None:
+        """Record that the member currently lacks the memory."""
         self.declined = True
-        self.next_send_at = ask_again_at
+        self.next_send_at = retry_at
 
-    def is_last(self, number: int) -> bool:
-        """Tell whether an answer is to the last request."""
+    def is_latest(self, number: int) -> bool:
+        """Return whether an answer refers to the latest request."""
         return number in {0, len(self._sent_at)}
 
-    def end(self, now: float) -> None:
-        """Begin to release the lease if one was ever asked for."""
-        asked = self.state != MemberState.WAITING
-        self.state = MemberState.ENDING if asked else MemberState.ENDED
+    def begin_release(self, now: float) -> None:
+        """Start releasing the lease if one was ever requested."""
+        requested = self.state != GroupMemberState.WAITING
+        self.state = (
+            GroupMemberState.RELEASING
+            if requested
+            else GroupMemberState.RELEASED
+        )
         self.next_send_at = now
 
-    def note_release(self, next_send_at: float, sends: int) -> None:
-        """Note that a release was sent."""
-        self.releases += 1
+    def record_release(self, next_send_at: float, max_releases: int) -> None:
+        """Record that a release was sent."""
+        self.releases_sent += 1
         self.next_send_at = next_send_at
-        if self.releases >= sends:
-            self.state = MemberState.ENDED
+        if self.releases_sent >= max_releases:
+            self.state = GroupMemberState.RELEASED
--- a/packages/sycamore-core/src/sycamore_core/decisions/group_reservation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/group_reservation.py
@@ -1,15 +1,16 @@
 """Reservation of memory at all members of a group, by its leader.
 
-Load pattern: several long prompts at once whose groups share members, while
-messages are lost, repeated and late, and any process may die half way.
+Load pattern: several long prompts at the same time whose groups share members,
+while messages are lost, duplicated or delayed, and any process may fail.
 
-Without it: two groups that each hold what the other waits for never start,
-and the memory that a dead leader has taken is never given back.
+Without this protocol, two groups that wait for each other's memory deadlock,
+and the memory reserved by a failed leader is never released.
 
-Members are asked one after the other in the order of their ids, so of several
-groups the one that holds the highest contested member can always go on. Each
-lease expires by itself at the member. The leader counts it from the moment
-its request was sent, so it never believes in a lease that has expired.
+The leader sends reservations to one member at a time, in the order of their
+ids. Of several groups, the one that has reserved the highest contested member
+can therefore always continue. Each lease expires at the member without a
+message. The leader counts the lease from the time it sent the request, so it
+never relies on a lease that has expired.
 """
 
 import enum
@@ -26,18 +27,18 @@
     GroupRenew,
     GroupReserve,
 )
-from .group_member import GroupMember, MemberState
+from .group_member import GroupMember, GroupMemberState
 from .group_times import (
-    PATIENCE_SECONDS,
     RELEASE_SENDS,
-    RENEW_SECONDS,
+    RENEW_INTERVAL_SECONDS,
     RESEND_SECONDS,
+    RESERVATION_TIMEOUT_SECONDS,
 )
 from .long_prompts import Span
 
 
 class ReservationState(enum.StrEnum):
-    """Where a group stands."""
+    """State of the reservation of a group."""
 
     RESERVING = 'reserving'
     HELD = 'held'
@@ -46,7 +47,7 @@
 
 
 class ReservationFailure(enum.StrEnum):
-    """Why a group was given up."""
+    """Why the reservation of a group failed."""
 
     MEMBER_FULL = 'member_full'
     MEMBER_SILENT = 'member_silent'
@@ -54,24 +55,24 @@
 
 
 class Outgoing(msgspec.Struct, frozen=True):
-    """A message that the leader sends to a member now."""
+    """A message to a member that is ready to be sent."""
 
     endpoint: EndpointId
     message: GroupReserve | GroupRenew | GroupRelease
 
 
 class GroupReservation:
-    """The leader's side of one group.
+    """Leader's side of the reservation of one group.
 
-    Feed it each `GroupAnswer`, send what `due` returns, and run a span only
-    while `is_held` is true.
+    Pass each `GroupAnswer` to the reservation, send the messages that `due`
+    returns, and run a span only while `is_held` returns true.
 
     Parameters
     ----------
     spans
-        The spans of the group, each at another endpoint.
+        Spans of the group, each at a different endpoint.
     now
-        When the leader begins, in seconds.
+        Start of the reservation, in seconds.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
         self.members.sort(key=lambda member: member.endpoint)
         if len({member.endpoint for member in self.members}) < len(spans):
             raise DecisionError('a group has two spans at one endpoint')
-        self.give_up_at = now + PATIENCE_SECONDS
+        self.timeout_at = now + RESERVATION_TIMEOUT_SECONDS
         self.state = ReservationState.RESERVING
         self.failure: ReservationFailure | None = None
 
@@ -102,25 +103,25 @@
         spans: Sequence[Span],
         now: float,
     ) -> Self:
-        """Begin to reserve the spans of a plan."""
+        """Start the reservation of the spans of a plan."""
         return cls(group, request_id, spans, now)
 
     def due(self, now: float) -> list[Outgoing]:
-        """Return what is to be sent now."""
-        self._judge(now)
-        if self.state in _OVER:
+        """Return the messages that are due now."""
+        self._update_state(now)
+        if self.state in _FINAL_STATES:
             return self._releases(now)
         outgoing = self._renewals(now)
-        asked = self._next_to_ask()
-        if asked is not None and asked.next_send_at <= now:
-            outgoing.append(self._reserve(asked, now))
+        next_member = self._next_to_reserve()
+        if next_member is not None and next_member.next_send_at <= now:
+            outgoing.append(self._reserve(next_member, now))
         return outgoing
 
     def is_held(self, now: float) -> bool:
-        """Tell whether the leases of all members are in force."""
+        """Return whether the leases of all members are valid."""
         if self.state != ReservationState.HELD:
             return False
-        return all(member.held_until > now for member in self.members)
+        return all(member.lease_expires_at > now for member in self.members)
 
     def take_answer(
         self,
@@ -128,46 +129,50 @@
         answer: GroupAnswer,
         now: float,
     ) -> None:
-        """Take an answer; late and repeated ones do no harm."""
-        member = self._find(endpoint)
-        if member is None or self.state in _OVER:
+        """Apply an answer; late and duplicate answers are harmless."""
+        member = self._find_member(endpoint)
+        if member is None or self.state in _FINAL_STATES:
             return
         if answer.granted:
-            member.grant(answer.number)
-        elif member.state == MemberState.HELD and member.is_last(answer.number):
+            member.apply_grant(answer.number)
+        elif member.state == GroupMemberState.HELD and member.is_latest(
+            answer.number
+        ):
             self._fail(ReservationFailure.LEASE_LOST, now)
-        elif member.state == MemberState.ASKED:
-            member.decline(now + max(answer.retry_after, RESEND_SECONDS))
-        self._judge(now)
+        elif member.state == GroupMemberState.REQUESTED:
+            member.record_decline(now + max(answer.retry_after, RESEND_SECONDS))
+        self._update_state(now)
 
     def release(self, now: float) -> None:
-        """Give all memory back, when the prompt is answered or given up."""
-        if self.state not in _OVER:
+        """Release all memory, once the prompt is answered or cancelled."""
+        if self.state not in _FINAL_STATES:
             self._end(ReservationState.RELEASED, now)
 
     def next_wake(self, now: float) -> float:
-        """Return when `due` has something to do at the latest, in seconds."""
-        moments = [member.next_send_at for member in self._active()]
+        """Return the time at which `due` must be called next, in seconds."""
+        times = [member.next_send_at for member in self._members_to_send()]
         if self.state == ReservationState.RESERVING:
-            moments.append(self.give_up_at)
-        moments.extend(member.held_until for member in self._held())
-        return max(now, min(moments, default=self.give_up_at))
+            times.append(self.timeout_at)
+        times.extend(member.lease_expires_at for member in self._members_held())
+        return max(now, min(times, default=self.timeout_at))
 
-    def _judge(self, now: float) -> None:
-        if self.state in _OVER:
+    def _update_state(self, now: float) -> None:
+        if self.state in _FINAL_STATES:
             return
-        if any(member.held_until <= now for member in self._held()):
-            # A lease whose renewals nobody answered may be free again at the
-            # member, and a span that runs without it would be refused there.
+        if any(
+            member.lease_expires_at <= now for member in self._members_held()
+        ):
+            # A lease whose renewals remain unanswered may have expired at the
+            # member, which then refuses a span that runs without a lease.
             self._fail(ReservationFailure.LEASE_LOST, now)
-        elif self._next_to_ask() is None:
+        elif self._next_to_reserve() is None:
             self.state = ReservationState.HELD
-        elif now >= self.give_up_at:
-            self._fail(self._why_not(), now)
+        elif now >= self.timeout_at:
+            self._fail(self._timeout_failure(), now)
 
-    def _why_not(self) -> ReservationFailure:
-        waited_for = self._next_to_ask()
-        if waited_for is not None and waited_for.declined:
+    def _timeout_failure(self) -> ReservationFailure:
+        next_member = self._next_to_reserve()
+        if next_member is not None and next_member.declined:
             return ReservationFailure.MEMBER_FULL
         return ReservationFailure.MEMBER_SILENT
 
@@ -178,10 +183,10 @@
     def _end(self, state: ReservationState, now: float) -> None:
         self.state = state
         for member in self.members:
-            member.end(now)
+            member.begin_release(now)
 
     def _reserve(self, member: GroupMember, now: float) -> Outgoing:
-        number = member.note_send(now, RESEND_SECONDS)
+        number = member.record_request(now, RESEND_SECONDS)
         message = GroupReserve(
             group=self.group,
             request_id=self.request_id,
@@ -194,9 +199,9 @@
 
     def _renewals(self, now: float) -> list[Outgoing]:
         outgoing = []
-        for member in self._held():
+        for member in self._members_held():
             if member.next_send_at <= now:
-                number = member.note_send(now, RENEW_SECONDS)
+                number = member.record_request(now, RENEW_INTERVAL_SECONDS)
                 message = GroupRenew(
                     group=self.group,
                     lease_seconds=member.lease_seconds,
@@ -206,39 +211,48 @@
         return outgoing
 
     def _releases(self, now: float) -> list[Outgoing]:
-        # Nobody answers a release. It is sent a few times, and if all are
-        # lost the lease expires at the member all the same.
+        # Releases are not acknowledged. Each is sent several times; if all are
+        # lost, the lease expires at the member.
         outgoing = []
-        for member in self._active():
+        for member in self._members_to_send():
             if member.next_send_at <= now:
-                member.note_release(now + RESEND_SECONDS, RELEASE_SENDS)
+                member.record_release(now + RESEND_SECONDS, RELEASE_SENDS)
                 message = GroupRelease(group=self.group)
                 outgoing.append(Outgoing(member.endpoint, message))
         return outgoing
 
-    def _next_to_ask(self) -> GroupMember | None:
+    def _next_to_reserve(self) -> GroupMember | None:
         for member in self.members:
-            if member.state in {MemberState.WAITING, MemberState.ASKED}:
+            if member.state in {
+                GroupMemberState.WAITING,
+                GroupMemberState.REQUESTED,
+            }:
                 return member
         return None
 
-    def _find(self, endpoint: EndpointId) -> GroupMember | None:
+    def _find_member(self, endpoint: EndpointId) -> GroupMember | None:
         for member in self.members:
             if member.endpoint == endpoint:
                 return member
         return None
 
-    def _held(self) -> Iterable[GroupMember]:
-        return [one for one in self.members if one.state == MemberState.HELD]
+    def _members_held(self) -> Iterable[GroupMember]:
+        return [
+            member
+            for member in self.members
+            if member.state == GroupMemberState.HELD
+        ]
 
-    def _active(self) -> Iterable[GroupMember]:
-        if self.state in _OVER:
+    def _members_to_send(self) -> Iterable[GroupMember]:
+        if self.state in _FINAL_STATES:
             return [
-                one for one in self.members if one.state == MemberState.ENDING
+                member
+                for member in self.members
+                if member.state == GroupMemberState.RELEASING
             ]
-        asked = self._next_to_ask()
-        held = self._held()
-        return held if asked is None else [*held, asked]
+        next_member = self._next_to_reserve()
+        held = self._members_held()
+        return held if next_member is None else [*held, next_member]
 
 
-_OVER = frozenset((ReservationState.RELEASED, ReservationState.FAILED))
+_FINAL_STATES = frozenset((ReservationState.RELEASED, ReservationState.FAILED))
--- a/packages/sycamore-core/src/sycamore_core/decisions/health.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/health.py
@@ -1,13 +1,13 @@
-"""Which endpoints are relieved of work because of what callers saw there.
+"""Passive outlier detection: ejection of endpoints by observed requests.
 
-Load pattern: an endpoint that is ten times slower than the others but alive,
-one that fails each request at once, and one that accepts work and never
-answers.
+Load pattern: an endpoint that responds but is ten times slower than the
+others, an endpoint that fails each request at once, and an endpoint that
+accepts requests and never answers.
 
-Without it: the one that fails fast always looks idle and draws most of the
-traffic; behind the slow or silent one, every request that lands there waits
-until its time limit. Without the cap, a fault that all share, as a bad model
-version, would eject one after the other and crush the rest.
+Without ejection, an endpoint that fails fast always appears idle and attracts
+most of the traffic, and each request sent to a slow or silent endpoint waits
+until its time limit. Without the cap on ejections, a fault of all endpoints,
+such as a bad model version, would eject them one by one and overload the rest.
 """
 
 import math
@@ -17,42 +17,44 @@
 from ..ids import EndpointId
 from ..states import HealthState
 from .health_record import (
-    LEAST_SAMPLES,
+    MIN_SAMPLES,
     EjectionReason,
     HealthRecord,
     Observation,
     ObservationKind,
 )
 
-#: Part of the endpoints that may be ejected or probed at once. At 0.7 load
-#: the others can take over what three in ten leave.
-LARGEST_EJECTED_SHARE = 0.3
-#: Latency in multiples of the median above which an endpoint is ejected.
-#: Queues alone make the averages of equal endpoints differ by two.
+#: Largest fraction of the endpoints that may be ejected or probed at once. At
+#: a load of 0.7 the others can take over the work of three in ten.
+MAX_EJECTED_SHARE = 0.3
+#: Latency above which an endpoint is ejected, in multiples of the median.
+#: Queueing alone makes the averages of equal endpoints differ by a factor of 2.
 LATENCY_FACTOR = 3.0
-#: First and later time without work, in seconds. Ten seconds outlast a pause or
-#: a restart of a process. With up to 160 s the model's callers waited longer
-#: for endpoints that were well again than probes cost them at 20 s.
-FIRST_EJECTION = 10.0
-LATER_EJECTION = 20.0
-#: Time in health after which earlier ejections no longer count, in seconds.
-FORGIVEN_SECONDS = 120.0
-#: Weight while probing; one request at a time bounds what a probe can cost.
+#: Durations of the first and of later ejections, in seconds. Ten seconds
+#: outlast a pause or restart of a process. With ejections of up to 160 s,
+#: callers in the model lost more time to the absence of recovered endpoints
+#: than to probes at 20 s.
+FIRST_EJECTION_SECONDS = 10.0
+LATER_EJECTION_SECONDS = 20.0
+#: Healthy time after which earlier ejections no longer count, in seconds.
+EJECTION_RESET_SECONDS = 120.0
+#: Weight while probing. Only one request at a time is sent, which bounds the
+#: cost of a probe.
 PROBE_WEIGHT = 0.5
-#: Good answers in a row that end the probing.
-GOOD_PROBES = 3
-#: Weight at the begin of the return, and its length in seconds. A cold cache
-#: makes the first requests slow, which is no reason to eject it again.
-FIRST_WEIGHT = 0.1
-RETURN_SECONDS = 10.0
-#: Weight of an endpoint that ought to be ejected while the cap is reached.
-CROWDED_WEIGHT = 0.25
+#: Number of consecutive good answers that end the probing.
+REQUIRED_PROBES = 3
+#: Weight at the start of the return, and its duration in seconds. A cold cache
+#: makes the first requests slow, which must not cause another ejection.
+RETURN_START_WEIGHT = 0.1
+RETURN_RAMP_SECONDS = 10.0
+#: Weight of an endpoint that would be ejected if the cap were not reached.
+CAPPED_WEIGHT = 0.25
 #: Interval at which the median of all endpoints is computed, in seconds.
-MEDIAN_SECONDS = 1.0
+MEDIAN_INTERVAL_SECONDS = 1.0
 
 
 class EndpointHealth:
-    """What an entry has seen of each endpoint, and what follows from it.
+    """Health of each endpoint and the resulting weights, for one entry.
 
     Examples
     --------
@@ -69,9 +71,9 @@
 
     def __init__(self) -> None:
         self.records: dict[EndpointId, HealthRecord] = {}
-        self.relieved = 0
+        self.out_of_service = 0
         self.median_ratio = float(1)
-        self._median_at = -math.inf
+        self._median_updated_at = -math.inf
 
     def observe(
         self,
@@ -79,29 +81,29 @@
         observation: Observation,
         now: float,
     ) -> None:
-        """Take note of what was seen at an endpoint."""
+        """Record an observation at an endpoint."""
         record = self._record(endpoint)
-        record.take(observation, now)
+        record.add_observation(observation, now)
         if record.state == HealthState.PROBING:
-            self._count_probe(record, observation, now)
+            self._record_probe(record, observation, now)
         elif observation.kind == ObservationKind.FAILED:
-            # Latency waits for the next median, which a fleet that slows
-            # down as a whole has raised by then.
-            self._judge(record, now)
+            # Latency is compared only after the next update of the median,
+            # which rises when the whole fleet slows down.
+            self._evaluate(record, now)
 
     def weights(
         self,
         endpoints: Iterable[EndpointId],
         now: float,
     ) -> Mapping[EndpointId, float]:
-        """Return the part of its share that each endpoint should get.
+        """Return the weight of each endpoint, from 0 to 1.
 
-        Call it about once a second with all endpoints in use; those that
-        are not named any more are forgotten.
+        Call this method about once per second with all endpoints in use. It
+        drops the records of all other endpoints.
         """
         names = tuple(endpoints)
-        for gone in self.records.keys() - set(names):
-            self.forget(gone)
+        for removed in self.records.keys() - set(names):
+            self.forget(removed)
         records = {endpoint: self._record(endpoint) for endpoint in names}
         self._refresh_median(now)
         self._return_excess(now)
@@ -115,23 +117,24 @@
         return self._record(endpoint).state
 
     def reason(self, endpoint: EndpointId) -> EjectionReason | None:
-        """Return why an endpoint is relieved of work; None if it is not."""
+        """Return why an endpoint was ejected; None if it is in service."""
         return self._record(endpoint).reason
 
     def forget(self, endpoint: EndpointId) -> None:
-        """Drop what is known of an endpoint that is gone."""
+        """Drop the record of an endpoint that has been removed."""
         record = self.records.pop(endpoint, None)
-        if record is not None and record.state in _RELIEVED:
-            self.relieved -= 1
+        if record is not None and record.state in _OUT_OF_SERVICE_STATES:
+            self.out_of_service -= 1
 
-    def largest_relieved(self) -> int:
-        """Return how many endpoints may be relieved of work at once.
+    def max_out_of_service(self) -> int:
+        """Return how many endpoints may be ejected or probed at once.
 
-        Of two or three, one may be; the last one never is.
+        With two or three endpoints it is one. The last endpoint always stays
+        in service.
         """
-        known = len(self.records)
-        share = max(1, math.floor(known * LARGEST_EJECTED_SHARE))
-        return max(0, min(known - 1, share))
+        endpoint_count = len(self.records)
+        limit = max(1, math.floor(endpoint_count * MAX_EJECTED_SHARE))
+        return max(0, min(endpoint_count - 1, limit))
 
     def _record(self, endpoint: EndpointId) -> HealthRecord:
         record = self.records.get(endpoint)
@@ -140,119 +143,125 @@
             self.records[endpoint] = record
         return record
 
-    def _judge(self, record: HealthRecord, now: float) -> None:
+    def _evaluate(self, record: HealthRecord, now: float) -> None:
         if record.state == HealthState.EJECTED:
             return
-        slowest = LATENCY_FACTOR * max(1, self.median_ratio)
-        complaint = record.complaint(slowest, now)
-        record.is_judged = True
-        record.crowded = complaint is not None and not self._may_eject(record)
-        if complaint is not None and not record.crowded:
-            self._eject(record, complaint, now)
+        max_ratio = LATENCY_FACTOR * max(1, self.median_ratio)
+        reason = record.ejection_reason(max_ratio, now)
+        record.is_evaluated = True
+        record.is_capped = reason is not None and not self._may_eject(record)
+        if reason is not None and not record.is_capped:
+            self._eject(record, reason, now)
 
     def _may_eject(self, record: HealthRecord) -> bool:
-        if record.state in _RELIEVED:
+        if record.state in _OUT_OF_SERVICE_STATES:
             return True
-        return self.relieved < self.largest_relieved()
+        return self.out_of_service < self.max_out_of_service()
 
     def _eject(
         self,
         record: HealthRecord,
-        complaint: EjectionReason,
+        reason: EjectionReason,
         now: float,
     ) -> None:
         if record.state == HealthState.HEALTHY:
-            if now - record.since > FORGIVEN_SECONDS:
+            if now - record.since > EJECTION_RESET_SECONDS:
                 record.ejections = 0
         record.ejections += 1
-        record.reason = complaint
-        self._enter(record, HealthState.EJECTED, now)
+        record.reason = reason
+        self._change_state(record, HealthState.EJECTED, now)
 
-    def _count_probe(
+    def _record_probe(
         self,
         record: HealthRecord,
         observation: Observation,
         now: float,
     ) -> None:
-        # Averages need more samples than an ejected endpoint should get, so
-        # each probe counts for itself.
-        slowest = LATENCY_FACTOR * max(1, self.median_ratio)
+        # Averages need more samples than an ejected endpoint should receive,
+        # so each probe is evaluated on its own.
+        max_ratio = LATENCY_FACTOR * max(1, self.median_ratio)
         if observation.kind == ObservationKind.FAILED:
             self._eject(record, EjectionReason.FAILURES, now)
-        elif observation.latency_ratio > slowest:
+        elif observation.latency_ratio > max_ratio:
             self._eject(record, EjectionReason.LATENCY, now)
         elif observation.kind == ObservationKind.ANSWERED:
-            record.good_probes += 1
-        if record.good_probes >= GOOD_PROBES:
-            self._enter(record, HealthState.RETURNING, now)
+            record.successful_probes += 1
+        if record.successful_probes >= REQUIRED_PROBES:
+            self._change_state(record, HealthState.RETURNING, now)
 
     def _return_excess(self, now: float) -> None:
-        # Endpoints leave the fleet while others are ejected. What is ejected
-        # may then be more than the cap, and the rest would be crushed.
-        excess = self.relieved - self.largest_relieved()
+        # When endpoints leave the fleet, the ejected ones may exceed the cap,
+        # and the remaining endpoints would be overloaded.
+        excess = self.out_of_service - self.max_out_of_service()
         if excess <= 0:
             return
-        relieved = [
+        out_of_service = [
             record
             for record in self.records.values()
-            if record.state in _RELIEVED
+            if record.state in _OUT_OF_SERVICE_STATES
         ]
-        relieved.sort(key=lambda record: record.since)
-        for record in relieved[:excess]:
-            self._enter(record, HealthState.RETURNING, now)
+        out_of_service.sort(key=lambda record: record.since)
+        for record in out_of_service[:excess]:
+            self._change_state(record, HealthState.RETURNING, now)
 
-    def _enter(
+    def _change_state(
         self,
         record: HealthRecord,
         state: HealthState,
         now: float,
     ) -> None:
-        was = record.state in _RELIEVED
+        was_out_of_service = record.state in _OUT_OF_SERVICE_STATES
         if state == HealthState.RETURNING:
             record.reason = None
-        record.enter(state, now)
-        self.relieved += (state in _RELIEVED) - was
+        record.change_state(state, now)
+        self.out_of_service += (
+            state in _OUT_OF_SERVICE_STATES
+        ) - was_out_of_service
 
     def _weight(self, record: HealthRecord, now: float) -> float:
         if record.is_settled:
             return 1
-        self._judge(record, now)
+        self._evaluate(record, now)
         elapsed = now - record.since
         if record.state == HealthState.EJECTED:
             if elapsed < _ejection_seconds(record):
                 return 0
-            self._enter(record, HealthState.PROBING, now)
+            self._change_state(record, HealthState.PROBING, now)
         if record.state == HealthState.PROBING:
             return 0 if record.pending else PROBE_WEIGHT
-        returned = record.state == HealthState.RETURNING
-        if returned and elapsed >= RETURN_SECONDS:
-            self._enter(record, HealthState.HEALTHY, now)
-        return _working_weight(record, elapsed)
+        is_returning = record.state == HealthState.RETURNING
+        if is_returning and elapsed >= RETURN_RAMP_SECONDS:
+            self._change_state(record, HealthState.HEALTHY, now)
+        return _in_service_weight(record, elapsed)
 
     def _refresh_median(self, now: float) -> None:
-        if now - self._median_at < MEDIAN_SECONDS:
+        if now - self._median_updated_at < MEDIAN_INTERVAL_SECONDS:
             return
-        self._median_at = now
+        self._median_updated_at = now
         ratios = [
             record.latency_ratio
             for record in self.records.values()
-            if record.samples >= LEAST_SAMPLES
+            if record.samples >= MIN_SAMPLES
         ]
-        # With few endpoints the median may be the slow one itself.
+        # With few endpoints, the high median may be the slow endpoint itself.
         self.median_ratio = statistics.median_low(ratios) if ratios else 1
 
 
-_RELIEVED = frozenset((HealthState.EJECTED, HealthState.PROBING))
+_OUT_OF_SERVICE_STATES = frozenset((HealthState.EJECTED, HealthState.PROBING))
 
 
 def _ejection_seconds(record: HealthRecord) -> float:
-    return FIRST_EJECTION if record.ejections == 1 else LATER_EJECTION
+    return (
+        FIRST_EJECTION_SECONDS
+        if record.ejections == 1
+        else LATER_EJECTION_SECONDS
+    )
 
 
-def _working_weight(record: HealthRecord, elapsed: float) -> float:
-    if record.crowded:
-        return CROWDED_WEIGHT
+def _in_service_weight(record: HealthRecord, elapsed: float) -> float:
+    if record.is_capped:
+        return CAPPED_WEIGHT
     if record.state == HealthState.HEALTHY:
         return 1
-    ramp = (1 - FIRST_WEIGHT) * elapsed / RETURN_SECONDS
-    return FIRST_WEIGHT + ramp
+    ramp = (1 - RETURN_START_WEIGHT) * elapsed / RETURN_RAMP_SECONDS
+    return RETURN_START_WEIGHT + ramp
--- a/packages/sycamore-core/src/sycamore_core/decisions/health_record.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/health_record.py
@@ -1,4 +1,4 @@
-"""What an entry has seen of one endpoint."""
+"""Health record of one endpoint, from the observations of an entry."""
 
 import enum
 import math
@@ -7,28 +7,30 @@
 
 from ..states import HealthState
 
-#: Part of a new sample in the running averages: the last ten count most, so
-#: a change shows within ten requests.
-AVERAGE_PART = 0.2
-#: Largest ratio taken into the average, so that one stall of a minute does not
-#: outweigh the next fifty answers.
-LARGEST_RATIO = 30.0
-#: Samples before an endpoint is judged by averages.
-LEAST_SAMPLES = 5
-#: Failures in a row after which an endpoint is ejected. By chance, at one
-#: failure in ten, three in a row come once in a thousand requests.
-FAILURES_IN_ROW = 3
-#: Average share of failures above which it is ejected.
-FAILURE_SHARE = 0.5
-#: Shortest silence that is judged, in seconds: two missed reports and a long
-#: step more.
-SILENCE_SECONDS = 5.0
-#: Silence in multiples of the time to first token that was expected.
+#: Weight of a new sample in the exponential moving averages. The last ten
+#: samples dominate, so a change is visible within ten requests.
+SMOOTHING_FACTOR = 0.2
+#: Largest latency ratio that enters the average, so that one stall of a minute
+#: does not outweigh the next fifty answers.
+MAX_LATENCY_RATIO = 30.0
+#: Number of samples from which the averages of an endpoint are evaluated.
+MIN_SAMPLES = 5
+#: Number of consecutive failures after which an endpoint is ejected. At a
+#: failure rate of one in ten, three consecutive failures occur by chance once
+#: in a thousand requests.
+EJECTION_FAILURE_COUNT = 3
+#: Average share of failures above which an endpoint is ejected.
+MAX_FAILURE_SHARE = 0.5
+#: Shortest silence that counts as a fault, in seconds: two missed reports and
+#: one long forward pass.
+MIN_SILENCE_SECONDS = 5.0
+#: Silence that counts as a fault, in multiples of the expected time to first
+#: token.
 SILENCE_FACTOR = 4.0
 
 
 class ObservationKind(enum.StrEnum):
-    """What an entry saw of one request at an endpoint."""
+    """Kind of event that an entry observes for one request at an endpoint."""
 
     ACCEPTED = 'accepted'
     ANSWERED = 'answered'
@@ -37,18 +39,18 @@
 
 
 class Observation(msgspec.Struct, frozen=True, kw_only=True):
-    """One thing that was seen at an endpoint.
+    """One observation at an endpoint.
 
-    `ACCEPTED` is followed by one of the others: `ANSWERED` with the first
+    `ACCEPTED` is followed by one of the other kinds: `ANSWERED` with the first
     token, `FAILED` if the endpoint or its connection failed, `ABANDONED` if
-    the caller gave up for a reason of its own.
+    the caller cancelled for a reason unrelated to the endpoint.
 
     Attributes
     ----------
     latency_ratio
-        For `ANSWERED`: time to first token divided by what was expected.
+        For `ANSWERED`: time to first token divided by the expected time.
     expected_seconds
-        For `ACCEPTED`: the time to first token that is expected, in seconds.
+        For `ACCEPTED`: expected time to first token, in seconds.
     """
 
     kind: ObservationKind
@@ -57,7 +59,7 @@
 
 
 class EjectionReason(enum.StrEnum):
-    """Why an endpoint is relieved of work."""
+    """Why an endpoint is ejected."""
 
     FAILURES = 'failures'
     LATENCY = 'latency'
@@ -65,95 +67,106 @@
 
 
 class HealthRecord:
-    """Running averages and the state of one endpoint."""
+    """Moving averages and health state of one endpoint."""
 
     def __init__(self) -> None:
         self.state = HealthState.HEALTHY
         self.reason: EjectionReason | None = None
         self.since = -math.inf
         self.ejections = 0
-        self.good_probes = 0
-        self.crowded = False
+        self.successful_probes = 0
+        self.is_capped = False
         self.pending = 0
-        self.is_judged = False
+        self.is_evaluated = False
         self.samples = 0
-        self.failures_in_row = 0
+        self.consecutive_failures = 0
         self.failure_share = float(0)
         self.latency_ratio = float(1)
-        self._progress_at = -math.inf
-        self._longest_expected = float(0)
+        self._last_progress_at = -math.inf
+        self._max_expected_seconds = float(0)
 
-    def take(self, observation: Observation, now: float) -> None:
+    def add_observation(self, observation: Observation, now: float) -> None:
         """Add an observation to the averages."""
-        self.is_judged = False
+        self.is_evaluated = False
         if observation.kind == ObservationKind.ACCEPTED:
-            self._accept(observation.expected_seconds, now)
+            self._add_accepted(observation.expected_seconds, now)
             return
         self.pending = max(0, self.pending - 1)
         if observation.kind == ObservationKind.ABANDONED:
             return
         failed = observation.kind == ObservationKind.FAILED
         self.samples += 1
-        self.failures_in_row = self.failures_in_row + 1 if failed else 0
-        self.failure_share += AVERAGE_PART * (failed - self.failure_share)
+        self.consecutive_failures = (
+            self.consecutive_failures + 1 if failed else 0
+        )
+        self.failure_share += SMOOTHING_FACTOR * (failed - self.failure_share)
         if not failed:
-            self._progress_at = now
-            ratio = min(LARGEST_RATIO, observation.latency_ratio)
-            self.latency_ratio += AVERAGE_PART * (ratio - self.latency_ratio)
+            self._last_progress_at = now
+            ratio = min(MAX_LATENCY_RATIO, observation.latency_ratio)
+            self.latency_ratio += SMOOTHING_FACTOR * (
+                ratio - self.latency_ratio
+            )
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing has come since it was found well, and no time-out."""
-        well = self.state == HealthState.HEALTHY and not self.crowded
-        return well and self.is_judged and not self.pending
+        """Whether the endpoint is healthy and needs no new evaluation.
+
+        No observation has arrived since the last evaluation, and no request
+        is pending that could time out.
+        """
+        is_healthy = self.state == HealthState.HEALTHY and not self.is_capped
+        return is_healthy and self.is_evaluated and not self.pending
 
-    def complaint(
+    def ejection_reason(
         self,
-        slowest_ratio: float,
+        max_ratio: float,
         now: float,
     ) -> EjectionReason | None:
-        """Return what speaks against the endpoint, if anything does."""
+        """Return the reason to eject the endpoint, or None."""
         if self.is_silent(now):
             return EjectionReason.SILENCE
-        judged = self.samples >= LEAST_SAMPLES
-        often_failed = judged and self.failure_share > FAILURE_SHARE
-        if often_failed or self.failures_in_row >= FAILURES_IN_ROW:
+        has_samples = self.samples >= MIN_SAMPLES
+        often_failed = has_samples and self.failure_share > MAX_FAILURE_SHARE
+        if often_failed or self.consecutive_failures >= EJECTION_FAILURE_COUNT:
             return EjectionReason.FAILURES
-        if judged and self.latency_ratio > slowest_ratio:
+        if has_samples and self.latency_ratio > max_ratio:
             return EjectionReason.LATENCY
         return None
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether it took work and gave no first token for too long.
+        """Return whether accepted requests get no first token for too long.
 
-        An endpoint that accepts work and never answers reports no failure.
-        One would notice only that its callers run into their time limits.
+        An endpoint that accepts requests and never answers reports no failure.
+        Without this check, the fault shows only when callers reach their time
+        limits.
         """
         if not self.pending:
             return False
-        patience = max(
-            SILENCE_SECONDS,
-            SILENCE_FACTOR * self._longest_expected,
+        timeout = max(
+            MIN_SILENCE_SECONDS,
+            SILENCE_FACTOR * self._max_expected_seconds,
         )
-        return now - self._progress_at > patience
+        return now - self._last_progress_at > timeout
 
-    def enter(self, state: HealthState, now: float) -> None:
-        """Change the state and judge from now on by new samples only."""
+    def change_state(self, state: HealthState, now: float) -> None:
+        """Change the state and reset the averages."""
         self.state = state
         self.since = now
-        self.good_probes = 0
-        self.crowded = False
+        self.successful_probes = 0
+        self.is_capped = False
         self.samples = 0
-        self.failures_in_row = 0
+        self.consecutive_failures = 0
         self.failure_share = float(0)
         self.latency_ratio = float(1)
         if state == HealthState.PROBING:
-            # What it never answered is not held against the first probe.
+            # Requests that were never answered must not fail the first probe.
             self.pending = 0
 
-    def _accept(self, expected_seconds: float, now: float) -> None:
+    def _add_accepted(self, expected_seconds: float, now: float) -> None:
         if not self.pending:
-            self._progress_at = now
-            self._longest_expected = float(0)
+            self._last_progress_at = now
+            self._max_expected_seconds = float(0)
         self.pending += 1
-        self._longest_expected = max(self._longest_expected, expected_seconds)
+        self._max_expected_seconds = max(
+            self._max_expected_seconds, expected_seconds
+        )
--- a/packages/sycamore-core/src/sycamore_core/decisions/long_prompts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/long_prompts.py
@@ -1,12 +1,12 @@
-"""Which group of engines serves a prompt beyond the memory of one.
+"""Choice of the engines that share a prompt too long for one engine.
 
-Load pattern: prompts of up to a million tokens, more than twice what an engine
-holds, among many short turns.
+Load pattern: prompts of up to a million tokens, more than twice the memory of
+an engine, among many short requests.
 
-Without it: such a prompt is refused, or it fills engines to the last token,
-and every short turn that lands there waits for minutes. Without the ranking,
-long work spreads thinly over all engines, so that each step of each engine
-carries some of it.
+Without groups, such a prompt is refused, or it fills engines completely, and
+each short request sent there waits for minutes. Without the ranking of
+engines, long work spreads over all engines and slows each forward pass of
+every engine.
 """
 
 import enum
@@ -25,13 +25,13 @@
 from .pool import Candidate
 from .requests import RequestView
 
-#: Shortest span worth an engine, in tokens: its prefill takes some seconds,
-#: well beyond the round trips that one member more costs.
-SHORTEST_SPAN = 32_768
+#: Shortest span for which an engine joins a group, in tokens. Its prefill takes
+#: some seconds, well above the round trips that one more member costs.
+MIN_SPAN_TOKENS = 32_768
 
 
 class GroupReason(enum.StrEnum):
-    """Why a group was formed, or not."""
+    """Whether a group was formed, and the reason if not."""
 
     FORMED = 'formed'
     LONG_WORK_FULL = 'long_work_full'
@@ -40,9 +40,9 @@
 
 
 class Span(msgspec.Struct, frozen=True):
-    """Part of a prompt that one endpoint holds, in tokens.
+    """Part of a prompt that one endpoint stores, in tokens.
 
-    The last span of a group has room for the output too.
+    The last span of a group also includes the memory of the output.
     """
 
     endpoint: EndpointId
@@ -53,7 +53,8 @@
 class GroupPlan(msgspec.Struct, frozen=True, kw_only=True):
     """A group of endpoints in span order, which is the order of their ids.
 
-    The last one leads: it generates, with the KV cache of all spans before.
+    The last endpoint is the leader. It generates the output with the KV cache
+    of all earlier spans.
     """
 
     reason: GroupReason
@@ -61,20 +62,20 @@
 
     @property
     def leader(self) -> EndpointId:
-        """The endpoint of the last span."""
+        """Endpoint of the last span."""
         return self.spans[-1].endpoint
 
     @property
     def members(self) -> tuple[EndpointId, ...]:
-        """The endpoints of the other spans, in span order."""
+        """Endpoints of the other spans, in span order."""
         return tuple(span.endpoint for span in self.spans[:-1])
 
 
-class _Room(msgspec.Struct, frozen=True):
+class _EngineCapacity(msgspec.Struct, frozen=True):
     endpoint: EndpointId
     zone: ZoneId
     tokens: int
-    holds_long: bool
+    has_long_work: bool
 
 
 def plan_group(
@@ -87,39 +88,42 @@
     Parameters
     ----------
     limits
-        What long work may still take of the candidates.
+        Memory and engines that long work may still use.
     """
-    short_room = short_room_share(request, candidates)
-    if short_room is None:
+    short_share = short_capacity_share(request, candidates)
+    if short_share is None:
         return GroupPlan(reason=GroupReason.PROMPT_TOO_LONG)
     if request.lease_tokens > limits.tokens:
         return GroupPlan(reason=GroupReason.LONG_WORK_FULL)
-    rooms = _rooms(request, candidates, short_room)
-    if sum(room.tokens for room in rooms) < request.lease_tokens:
+    capacities = _engine_capacities(request, candidates, short_share)
+    if sum(engine.tokens for engine in capacities) < request.lease_tokens:
         return GroupPlan(reason=GroupReason.MEMORY_FULL)
-    for choice in _by_zone(rooms):
-        group = _fewest(choice, request.lease_tokens, limits.engines)
+    for zone_capacities in _zone_choices(capacities):
+        group = _choose_fewest(
+            zone_capacities, request.lease_tokens, limits.engines
+        )
         if group:
             return GroupPlan(
                 reason=GroupReason.FORMED,
-                spans=_divide(request, group),
+                spans=_split_prompt(request, group),
             )
     return GroupPlan(reason=GroupReason.LONG_WORK_FULL)
 
 
-def short_room_share(
+def short_capacity_share(
     request: RequestView,
     candidates: Sequence[Candidate],
 ) -> float | None:
-    """Return the part of each engine that a prompt leaves to short turns.
+    """Return the share of each engine's memory kept for short requests.
 
-    It is the usual one if all live engines, when empty, hold the prompt
-    beside it, else the least one; None if they hold it in neither case.
+    This is the regular share if the live engines, when empty, can store the
+    prompt beside it, otherwise the minimum share. Return None if the prompt
+    is too long even then.
     """
     capacity = sum(
-        one.view.capacity_tokens
-        for one in candidates
-        if one.view.phase == EndpointPhase.LIVE
+        candidate.view.capacity_tokens
+        for candidate in candidates
+        if candidate.view.phase == EndpointPhase.LIVE
     )
     for share in (SHORT_ROOM_SHARE, LEAST_ROOM_SHARE):
         if request.lease_tokens <= capacity * (1 - share):
@@ -127,75 +131,79 @@
     return None
 
 
-def _rooms(
+def _engine_capacities(
     request: RequestView,
     candidates: Iterable[Candidate],
-    short_room: float,
-) -> list[_Room]:
-    # The fewest engines are filled by more than half each, so the last span
-    # has room for the output if half of it is more than that.
-    least = request.max_output_tokens * 2
-    rooms = (
-        _Room(
+    short_share: float,
+) -> list[_EngineCapacity]:
+    # A smallest possible group fills more than half of each member's capacity.
+    # The output thus fits into the last span if it needs at most half of it.
+    min_tokens = request.max_output_tokens * 2
+    capacities = (
+        _EngineCapacity(
             candidate.view.endpoint,
             candidate.view.zone,
-            room_for_long(candidate, short_room),
-            holds_long=candidate.view.long_tokens > 0,
+            room_for_long(candidate, short_share),
+            has_long_work=candidate.view.long_tokens > 0,
         )
         for candidate in candidates
     )
-    return [room for room in rooms if room.tokens > least]
+    return [engine for engine in capacities if engine.tokens > min_tokens]
 
 
-def _by_zone(rooms: Sequence[_Room]) -> Iterator[Sequence[_Room]]:
-    # KV caches pass from member to member, so one zone is tried before all.
-    for zone in sorted({room.zone for room in rooms}):
-        yield [room for room in rooms if room.zone == zone]
-    yield rooms
+def _zone_choices(
+    capacities: Sequence[_EngineCapacity],
+) -> Iterator[Sequence[_EngineCapacity]]:
+    # KV caches are transferred between members, so groups within one zone are
+    # preferred to groups across zones.
+    for zone in sorted({engine.zone for engine in capacities}):
+        yield [engine for engine in capacities if engine.zone == zone]
+    yield capacities
 
 
-def _fewest(
-    rooms: Sequence[_Room],
+def _choose_fewest(
+    capacities: Sequence[_EngineCapacity],
     tokens: int,
     engines: int,
-) -> Sequence[_Room]:
-    """Return few engines that hold the tokens, or none if none may.
+) -> Sequence[_EngineCapacity]:
+    """Return a small set of engines that store the tokens, or an empty one.
 
-    Engines that hold long work come first as long as a span there is worth
-    it, so that as many engines as possible stay free of it.
+    Engines that already run long work come first if they have the capacity
+    for a span of `MIN_SPAN_TOKENS`, so that as many engines as possible stay
+    free of long work.
     """
-    ranked = sorted(rooms, key=_rank)
-    group: list[_Room] = []
-    missing = tokens
-    fresh = engines
-    for room in ranked:
-        if missing <= 0:
+    ranked = sorted(capacities, key=_rank)
+    group: list[_EngineCapacity] = []
+    tokens_left = tokens
+    engines_left = engines
+    for engine in ranked:
+        if tokens_left <= 0:
             break
-        if not room.holds_long:
-            fresh -= 1
-        group.append(room)
-        missing -= room.tokens
-    return group if missing <= 0 and fresh >= 0 else ()
+        if not engine.has_long_work:
+            engines_left -= 1
+        group.append(engine)
+        tokens_left -= engine.tokens
+    return group if tokens_left <= 0 and engines_left >= 0 else ()
 
 
-def _rank(room: _Room) -> tuple[bool, int, EndpointId]:
-    preferred = room.holds_long and room.tokens >= SHORTEST_SPAN
-    return not preferred, -room.tokens, room.endpoint
+def _rank(engine: _EngineCapacity) -> tuple[bool, int, EndpointId]:
+    preferred = engine.has_long_work and engine.tokens >= MIN_SPAN_TOKENS
+    return not preferred, -engine.tokens, engine.endpoint
 
 
-def _divide(
+def _split_prompt(
     request: RequestView,
-    group: Sequence[_Room],
+    group: Sequence[_EngineCapacity],
 ) -> tuple[Span, ...]:
-    """Cut the prompt in proportion to the room of each member."""
-    ordered = sorted(group, key=lambda room: room.endpoint)
-    total = sum(room.tokens for room in ordered)
+    """Split the prompt in proportion to the capacity of each member."""
+    ordered = sorted(group, key=lambda engine: engine.endpoint)
+    total = sum(engine.tokens for engine in ordered)
     spans: list[Span] = []
     first = 0
-    offered = 0
-    for room in ordered:
-        offered += room.tokens
-        end = request.lease_tokens * offered // total
-        spans.append(Span(room.endpoint, first, end - first))
+    cumulative = 0
+    for engine in ordered:
+        cumulative += engine.tokens
+        end = request.lease_tokens * cumulative // total
+        spans.append(Span(engine.endpoint, first, end - first))
         first = end
     return tuple(spans)
--- a/packages/sycamore-core/src/sycamore_core/decisions/options.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/options.py
@@ -1,11 +1,11 @@
-"""Endpoints among which a placement chooses.
+"""Shortlist of the endpoints among which a placement chooses.
 
-Load pattern: hundreds of endpoints, thousands of placements a second, and
-entries that all hold the same report.
+Load pattern: hundreds of endpoints, thousands of placements per second, and
+entries that all have received the same load report.
 
-Without it: looking at every endpoint costs more than the whole decision may,
-and all entries find the same endpoint the least loaded until its next report.
-Two that are drawn at random differ from entry to entry.
+Without the shortlist, comparing all endpoints takes more time than the whole
+decision may, and all entries select the same least loaded endpoint until its
+next report. Two endpoints drawn at random differ between entries.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,29 +14,30 @@
 
 from ..ids import EndpointId
 from ..states import EndpointPhase
-from .affinity import Matches
+from .affinity import PrefixMatches
 from .placement_base import PlacementReason
 from .pool import Candidate, CandidatePool
 from .requests import RequestView
 from .scheduler import Draw
 
-#: Endpoints drawn at random for each request. Four instead of two changed the
-#: p95 of no measured load by more than a tenth.
+#: Number of endpoints drawn at random for each request. With four instead of
+#: two, the p95 changed by at most a tenth under each measured load.
 SAMPLE_CHOICES = 2
-#: Draws at most to find them among those that are full or ejected.
-SAMPLE_DRAWS = 8
-#: Holders of a prefix that are considered: the one that caches most, and two
-#: drawn at random, so that the many holders of a hot prefix share its load.
-HOLDER_CHOICES = 3
-#: Endpoints looked at, from a random one on, if none that was drawn fits.
-SCAN_ENDPOINTS = 32
+#: Maximum number of draws to find these, as some endpoints are full or ejected.
+MAX_SAMPLE_DRAWS = 8
+#: Maximum number of holders of a prefix to consider: the one that caches most,
+#: and two drawn at random, so that all holders of a hot prefix share its load.
+MAX_HOLDER_CHOICES = 3
+#: Maximum number of endpoints scanned, from a random position, if no endpoint
+#: that was drawn fits.
+MAX_SCANNED_ENDPOINTS = 32
 
 
-Fits = Callable[[Candidate, RequestView], bool]
+CapacityCheck = Callable[[Candidate, RequestView], bool]
 
 
-class Option(msgspec.Struct, frozen=True):
-    """An endpoint that a request may go to, and why it is considered."""
+class PlacementOption(msgspec.Struct, frozen=True):
+    """An endpoint that a request may be sent to, and why it is considered."""
 
     candidate: Candidate
     matched_blocks: int
@@ -44,61 +45,64 @@
 
 
 class Shortlist:
-    """The options of one request.
+    """Placement options of one request.
 
     Parameters
     ----------
     matches
-        What is known of the beginning of its prompt.
+        Result of looking up the prompt in the prefix index.
     """
 
     def __init__(
         self,
         request: RequestView,
         pool: CandidatePool,
-        matches: Matches,
+        matches: PrefixMatches,
         draw: Draw,
     ) -> None:
         self.request = request
         self.pool = pool
         self.matches = matches
         self.draw = draw
-        #: Whether an endpoint may hold the request; long work has its own.
-        self.fits: Fits = _has_room
-        self.found: dict[EndpointId, Option] = {}
+        #: Whether an endpoint has the capacity for the request. Placements of
+        #: long work replace this check.
+        self.fits: CapacityCheck = _has_capacity
+        self.options: dict[EndpointId, PlacementOption] = {}
 
     def add_holders(self) -> None:
-        """Add endpoints that are believed to cache the prompt."""
+        """Add endpoints that probably cache a prefix of the prompt."""
         for endpoint in self._drawn_holders():
             holder = self.pool.find(endpoint)
             if holder is not None and self._is_open(holder):
                 self._add(holder, PlacementReason.PREFIX)
 
-    def add_homes(self, homes: Iterable[Candidate], presumed: int) -> None:
-        """Add the homes of the prompt, presumed to cache some blocks."""
+    def add_homes(
+        self, homes: Iterable[Candidate], assumed_blocks: int
+    ) -> None:
+        """Add the home endpoints, which are assumed to cache some blocks."""
         for home in homes:
             if self._is_open(home):
-                self._add(home, PlacementReason.HOME, presumed)
+                self._add(home, PlacementReason.HOME, assumed_blocks)
 
     def add_sample(self) -> None:
         """Add endpoints drawn at random."""
-        missing = SAMPLE_CHOICES
-        for _ in range(min(SAMPLE_DRAWS, len(self.pool))):
-            drawn = self.pool[position(self.draw, len(self.pool))]
-            if drawn.view.endpoint in self.found or not self._is_open(drawn):
+        remaining = SAMPLE_CHOICES
+        for _ in range(min(MAX_SAMPLE_DRAWS, len(self.pool))):
+            drawn = self.pool[random_position(self.draw, len(self.pool))]
+            if drawn.view.endpoint in self.options or not self._is_open(drawn):
                 continue
             self._add(drawn, PlacementReason.LEAST_LOADED)
-            missing -= 1
-            if not missing:
+            remaining -= 1
+            if not remaining:
                 break
 
     def add_any(self) -> None:
-        """Add the first of some endpoints that has room, if any."""
+        """Add the first scanned endpoint that has capacity, if any."""
         size = len(self.pool)
-        start = position(self.draw, size) if size else 0
-        for offset in range(min(SCAN_ENDPOINTS, size)):
+        start = random_position(self.draw, size) if size else 0
+        for offset in range(min(MAX_SCANNED_ENDPOINTS, size)):
             candidate = self.pool[(start + offset) % size]
-            if is_usable(candidate) and self.fits(candidate, self.request):
+            if accepts_work(candidate) and self.fits(candidate, self.request):
                 self._add(candidate, PlacementReason.LEAST_LOADED)
                 break
 
@@ -106,41 +110,43 @@
         self,
         candidate: Candidate,
         source: PlacementReason,
-        presumed: int = 0,
+        assumed_blocks: int = 0,
     ) -> None:
         endpoint = candidate.view.endpoint
-        if endpoint not in self.found:
-            matched = self.matches.blocks.get(endpoint, presumed)
-            self.found[endpoint] = Option(candidate, matched, source)
+        if endpoint not in self.options:
+            matched = self.matches.blocks.get(endpoint, assumed_blocks)
+            self.options[endpoint] = PlacementOption(candidate, matched, source)
 
     def _drawn_holders(self) -> list[EndpointId]:
         holders = list(self.matches.blocks)
-        if len(holders) <= HOLDER_CHOICES:
+        if len(holders) <= MAX_HOLDER_CHOICES:
             return holders
         drawn = [
-            holders[position(self.draw, len(holders))]
-            for _ in range(HOLDER_CHOICES - 1)
+            holders[random_position(self.draw, len(holders))]
+            for _ in range(MAX_HOLDER_CHOICES - 1)
         ]
         return [holders[0], *drawn]
 
     def _is_open(self, candidate: Candidate) -> bool:
         # An endpoint of weight 0.3 is an option for three requests in ten.
-        # Its weight does not enter the comparison of loads, or one that
-        # returns would get nothing as long as any other is idle.
-        if not is_usable(candidate) or not self.fits(candidate, self.request):
+        # The weight is not part of the comparison of loads; otherwise a
+        # returning endpoint would receive no request while another is idle.
+        if not accepts_work(candidate) or not self.fits(
+            candidate, self.request
+        ):
             return False
         return candidate.weight >= 1 or self.draw() < candidate.weight
 
 
-def _has_room(candidate: Candidate, request: RequestView) -> bool:
+def _has_capacity(candidate: Candidate, request: RequestView) -> bool:
     return candidate.has_room(request)
 
 
-def position(draw: Draw, size: int) -> int:
-    """Return a position drawn at random; a draw of 1 is the last one."""
+def random_position(draw: Draw, size: int) -> int:
+    """Return a random position; a draw of 1 gives the last position."""
     return min(int(draw() * size), size - 1)
 
 
-def is_usable(candidate: Candidate) -> bool:
-    """Tell whether an endpoint takes new work at all."""
+def accepts_work(candidate: Candidate) -> bool:
+    """Return whether an endpoint accepts any new work."""
     return candidate.weight > 0 and candidate.view.phase == EndpointPhase.LIVE
--- a/packages/sycamore-core/src/sycamore_core/decisions/pinned.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/pinned.py
@@ -1,10 +1,11 @@
 """Requests that only one endpoint may run.
 
-Load pattern: ids that an endpoint process has minted, and callers' own keys,
-by which a request that must not run twice is sent again.
+Load pattern: a request that must not run twice is sent again with an id that
+an endpoint process has issued, or with an idempotency key of the caller.
 
-Without it: such a request is placed like any other, runs at an endpoint whose
-ledger does not know that it has run before, and a deposit is recorded twice.
+Without pinning, such a request is placed like any other and may run at an
+endpoint whose ledger does not contain the first run. A deposit would then be
+recorded twice.
 """
 
 from ..states import EndpointPhase, RefusalReason
@@ -12,16 +13,16 @@
 from .requests import RequestView
 from .scheduler import Refusal
 
-#: When a request that found no memory at its endpoint is tried again, in
-#: seconds: a tenth of the interval of load reports.
+#: Delay before a request that found no memory at its endpoint is placed again,
+#: in seconds: a tenth of the interval of load reports.
 POSTPONED_SECONDS = 0.1
-#: When to come back if its endpoint takes no work, in seconds: a restart takes
-#: seconds, and a drained endpoint does not come back at all.
-_COME_BACK_SECONDS = 5.0
+#: `retry_after` of a request whose endpoint accepts no work, in seconds. A
+#: restart takes seconds; a drained endpoint does not return.
+_RETRY_AFTER_SECONDS = 5.0
 
 
 def refusal_of(request: RequestView, pool: CandidatePool) -> Refusal | None:
-    """Return why the endpoint of a pinned request cannot run it, if so."""
+    """Return a refusal if the endpoint of a pinned request cannot run it."""
     endpoint = request.pinned_to
     if endpoint is None:
         return None
@@ -30,8 +31,8 @@
         return Refusal(
             request.request_id,
             RefusalReason.NO_ENDPOINT,
-            _COME_BACK_SECONDS,
-            f'only {endpoint} may run it, and takes no work',
+            _RETRY_AFTER_SECONDS,
+            f'only {endpoint} may run the request, but it accepts no work',
         )
     capacity = candidate.view.capacity_tokens
     if 0 < capacity < request.lease_tokens:
@@ -39,15 +40,16 @@
             request.request_id,
             RefusalReason.PROMPT_TOO_LONG,
             0,
-            f'only {endpoint} may run it, and holds {capacity} tokens',
+            f'only {endpoint} may run the request; its capacity is '
+            f'{capacity} tokens',
         )
     return None
 
 
 def has_memory(candidate: Candidate, request: RequestView) -> bool:
-    """Tell whether the endpoint has memory, however long its queue is.
+    """Return whether the endpoint has the memory, regardless of its queue.
 
-    The request cannot go elsewhere, so nothing is won by keeping it here.
+    The request cannot run elsewhere, so waiting at the entry has no benefit.
     """
     view = candidate.view
     return not view.capacity_tokens or request.lease_tokens <= view.free_tokens
--- a/packages/sycamore-core/src/sycamore_core/decisions/placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/placement.py
@@ -1,12 +1,12 @@
-"""Where a request is sent.
+"""Cache-aware placement of requests on endpoints.
 
-Load pattern: conversations that come back with a longer prompt, a prompt
-shared by many callers, bursts, and several entries that do not see what the
-others send.
+Load pattern: conversations that return with a longer prompt, a prompt shared
+by many callers, bursts, and several entries that do not know what the others
+send.
 
-Without it: round robin computes each prompt again on every endpoint, and
-sending to the endpoint that reported the least load makes all entries choose
-the same one until its next report.
+Without it, round robin computes each prompt again on every endpoint, and
+choosing the least loaded endpoint by report directs all entries to the same
+endpoint until its next report.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -15,11 +15,11 @@
 from ..ids import BlockHash, EndpointId, ServiceId, ZoneId
 from ..settings import FleetSettings
 from ..states import EndpointKind, EndpointPhase, PromptBand
-from .affinity import HOME_POSITION, HomeRing, Matches, PrefixIndex
+from .affinity import HOME_KEY_POSITION, HomeRing, PrefixIndex, PrefixMatches
 from .costs import CostModel, new_tokens
 from .long_limits import LongLimits
 from .long_prompts import GroupPlan, GroupReason, plan_group
-from .options import Option, Shortlist, is_usable
+from .options import PlacementOption, Shortlist, accepts_work
 from .placement_base import Placement, PlacementDecision, PlacementReason
 from .pool import Candidate, CandidatePool
 from .requests import RequestView
@@ -27,23 +27,23 @@
 from .scheduler import Draw
 from .views import EndpointView
 
-#: When to look again if nothing fits now, in seconds: the interval of load
-#: reports, before which nothing new is known.
+#: Delay before the next placement if no endpoint fits, in seconds: the interval
+#: of load reports, which bring the new information.
 REPORT_SECONDS = 1.0
-#: Part of a prompt that its home is presumed to cache if nothing is known.
-#: With eight entries 0.8 and 0.95 came out alike, 0.5 behind.
-HOME_BELIEF = 0.8
-#: What a second of computing counts beside a second of waiting, less 1: it
-#: also delays those who come later. The weight is shared by all that use the
-#: prefix, since one more holder of a hot prefix serves many.
-WASTE_WEIGHT = 2.0
+#: Share of a prompt that its home is assumed to cache if no record exists. With
+#: eight entries, 0.8 and 0.95 gave equal results, and 0.5 was worse.
+HOME_CACHED_SHARE = 0.8
+#: Extra cost of a second of prefill compared with a second of waiting. Prefill
+#: also delays later requests. The cost is divided among all uses of the prefix,
+#: as one more holder of a hot prefix serves many requests.
+RECOMPUTE_WEIGHT = 2.0
 
 
 class RoundRobinPlacement(Placement):
-    """Sends to the live endpoints in turn; the naive baseline."""
+    """Round-robin placement on the live endpoints; the naive baseline."""
 
     def __init__(self) -> None:
-        self.turn = 0
+        self.next_position = 0
 
     def place(
         self,
@@ -53,8 +53,8 @@
         draw: Draw,
     ) -> PlacementDecision:
         """Choose the next live endpoint."""
-        start = self.turn
-        self.turn += 1
+        start = self.next_position
+        self.next_position += 1
         for number in range(start, start + len(candidates)):
             view = candidates[number % len(candidates)].view
             if view.phase == EndpointPhase.LIVE:
@@ -63,22 +63,23 @@
                     reason=PlacementReason.IN_TURN,
                     new_tokens=request.prompt_tokens,
                 )
-        return _waits(PlacementReason.NO_ENDPOINT)
+        return _wait_decision(PlacementReason.NO_ENDPOINT)
 
 
 class PrefixPlacement(Placement):
-    """Weighs cached prefixes against load, memory and zone crossings.
+    """Placement by cached prefixes, load, memory and zone crossings.
 
-    The options are endpoints that cache the prompt, the home of its hash, and
-    two drawn at random; the one with the least expected time to first token
-    wins, where computing what is cached elsewhere counts more than waiting.
+    The options are endpoints that cache a prefix of the prompt, the home of
+    its hash, and two endpoints drawn at random. The option with the least
+    expected time to first token is chosen. Computing tokens that are cached
+    elsewhere counts more than waiting.
 
     Parameters
     ----------
     settings
-        The tree in force.
+        The settings tree in force.
     zone
-        Zone of this entry; endpoints elsewhere cost the way there and back.
+        Zone of this entry. Endpoints in other zones cost a longer round trip.
     """
 
     def __init__(self, settings: FleetSettings, zone: ZoneId) -> None:
@@ -95,16 +96,16 @@
         return cls(settings, zone)
 
     def update_settings(self, settings: FleetSettings) -> None:
-        """Take a newer settings tree into force; what was learnt stays."""
+        """Apply a newer settings tree; the records of the index stay."""
         self.long_work_share = settings.policy.long_work_share
         self.costs = CostModel(self.zone, settings)
         self.limits.clear()
 
     def learn(self, view: EndpointView, now: float) -> None:
-        """Take the cache events that an endpoint has reported.
+        """Record the cached blocks that an endpoint has reported.
 
-        They may be late and incomplete: a block that is not named stays
-        believed until its record is too old.
+        Cache events may be late and incomplete, so a block that is not
+        reported stays in the index until its record expires.
         """
         for block in view.cached_blocks:
             self.index.record_block(BlockHash(block), view.endpoint, now)
@@ -124,12 +125,12 @@
         is_long = _is_long(request, limits)
         if is_long:
             shortlist.fits = limits.allow
-        self._fill(shortlist)
-        if shortlist.found:
-            return self._decide(request, shortlist.found, matches, now)
+        self._add_options(shortlist)
+        if shortlist.options:
+            return self._choose_option(request, shortlist.options, matches, now)
         if is_long:
             return self._long_decision(request, pool, limits)
-        return _must_wait(pool)
+        return _wait_for_endpoint(pool)
 
     def _long_decision(
         self,
@@ -140,8 +141,8 @@
         if request.lease_tokens > limits.largest_span:
             return _group_decision(plan_group(request, pool, limits))
         if request.lease_tokens > limits.tokens or not limits.engines:
-            return _waits(PlacementReason.LONG_WORK_FULL)
-        return _must_wait(pool)
+            return _wait_decision(PlacementReason.LONG_WORK_FULL)
+        return _wait_for_endpoint(pool)
 
     def _limits(
         self,
@@ -149,33 +150,40 @@
         pool: CandidatePool,
         now: float,
     ) -> LongLimits:
-        # Summing up hundreds of endpoints for each request would cost more
-        # than the rest; what is summed changes with the reports only.
-        known = self.limits.get(service)
-        if known is None or now - known.seen_at >= REPORT_SECONDS:
-            known = LongLimits.from_candidates(pool, self.long_work_share, now)
-            self.limits[service] = known
-        return known
-
-    def _fill(self, shortlist: Shortlist) -> None:
+        # Summing over hundreds of endpoints for each request would cost more
+        # than the rest of the placement. The sums change only with reports.
+        cached_limits = self.limits.get(service)
+        if (
+            cached_limits is None
+            or now - cached_limits.seen_at >= REPORT_SECONDS
+        ):
+            cached_limits = LongLimits.from_candidates(
+                pool, self.long_work_share, now
+            )
+            self.limits[service] = cached_limits
+        return cached_limits
+
+    def _add_options(self, shortlist: Shortlist) -> None:
         blocks = shortlist.request.prefix_blocks
         if blocks:
-            came_back = shortlist.matches.deepest > HOME_POSITION + 1
-            self.reuse.note(came_back=came_back)
-            belief = 0 if came_back else HOME_BELIEF * self.reuse.belief
-            presumed = int(len(blocks) * belief)
+            is_repeat = shortlist.matches.longest_match > HOME_KEY_POSITION + 1
+            self.reuse.record(is_repeat=is_repeat)
+            cached_share = (
+                0 if is_repeat else HOME_CACHED_SHARE * self.reuse.home_trust
+            )
+            assumed_blocks = int(len(blocks) * cached_share)
             shortlist.add_holders()
             homes = self.ring.homes(blocks, shortlist.pool)
-            shortlist.add_homes(homes, presumed)
+            shortlist.add_homes(homes, assumed_blocks)
         shortlist.add_sample()
-        if not shortlist.found:
+        if not shortlist.options:
             shortlist.add_any()
 
-    def _decide(
+    def _choose_option(
         self,
         request: RequestView,
-        options: Mapping[EndpointId, Option],
-        matches: Matches,
+        options: Mapping[EndpointId, PlacementOption],
+        matches: PrefixMatches,
         now: float,
     ) -> PlacementDecision:
         estimates = {
@@ -186,7 +194,7 @@
             )
             for endpoint, option in options.items()
         }
-        weight = 1 + WASTE_WEIGHT / max(1, matches.uses)
+        weight = 1 + RECOMPUTE_WEIGHT / max(1, matches.uses)
         endpoint = min(
             estimates,
             key=lambda name: estimates[name].weighed_seconds(weight),
@@ -210,21 +218,23 @@
     return 0 < limits.largest_engine < request.lease_tokens
 
 
-def _reason(chosen: Option, options: Iterable[Option]) -> PlacementReason:
-    if chosen.matched_blocks < max(one.matched_blocks for one in options):
+def _reason(
+    chosen: PlacementOption, options: Iterable[PlacementOption]
+) -> PlacementReason:
+    if chosen.matched_blocks < max(option.matched_blocks for option in options):
         return PlacementReason.SPILL
     return chosen.source
 
 
-def _must_wait(pool: CandidatePool) -> PlacementDecision:
-    if any(is_usable(candidate) for candidate in pool):
-        return _waits(PlacementReason.MEMORY_FULL)
-    return _waits(PlacementReason.NO_ENDPOINT)
+def _wait_for_endpoint(pool: CandidatePool) -> PlacementDecision:
+    if any(accepts_work(candidate) for candidate in pool):
+        return _wait_decision(PlacementReason.MEMORY_FULL)
+    return _wait_decision(PlacementReason.NO_ENDPOINT)
 
 
 def _group_decision(plan: GroupPlan) -> PlacementDecision:
     if plan.reason != GroupReason.FORMED:
-        return _waits(PlacementReason(plan.reason.value))
+        return _wait_decision(PlacementReason(plan.reason.value))
     return PlacementDecision(
         endpoint=plan.leader,
         members=plan.members,
@@ -232,7 +242,7 @@
     )
 
 
-def _waits(reason: PlacementReason) -> PlacementDecision:
+def _wait_decision(reason: PlacementReason) -> PlacementDecision:
     return PlacementDecision(
         endpoint=None,
         reason=reason,
--- a/packages/sycamore-core/src/sycamore_core/decisions/placement_base.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/placement_base.py
@@ -1,4 +1,4 @@
-"""What a placement decides, and its interface."""
+"""Interface and result types of placements."""
 
 import abc
 import enum
@@ -13,7 +13,7 @@
 
 
 class PlacementReason(enum.StrEnum):
-    """Why a request goes where it goes, or nowhere."""
+    """Why an endpoint was chosen, or why the request must wait."""
 
     PREFIX = 'prefix'
     SPILL = 'spill'
@@ -30,22 +30,22 @@
 
 
 class PlacementDecision(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a request goes.
+    """Result of a placement.
 
     Attributes
     ----------
     endpoint
-        The endpoint, or the leader of a group; None if it must wait.
+        The endpoint, or the leader of a group; None if the request must wait.
     members
         The other endpoints of a group, in span order.
     retry_after
-        When to ask again if it must wait, in seconds.
+        Delay before the next placement if the request must wait, in seconds.
     matched_blocks
-        Blocks of the prompt that the endpoint is believed to cache.
+        Number of blocks of the prompt that the endpoint probably caches.
     new_tokens
-        Prompt tokens that it is expected to compute.
+        Number of prompt tokens that the endpoint is expected to compute.
     expected_seconds
-        Estimated time to first token there, in seconds.
+        Estimated time to first token, in seconds.
     """
 
     endpoint: EndpointId | None
@@ -58,7 +58,7 @@
 
 
 class Placement(abc.ABC):
-    """Chooses the endpoint of a request."""
+    """Policy that chooses the endpoint of a request."""
 
     @abc.abstractmethod
     def place(
@@ -70,6 +70,6 @@
     ) -> PlacementDecision:
         """Choose among the candidates of the request's service.
 
-        Pass a `CandidatePool` that is kept from call to call; any other
-        sequence is indexed anew each time.
+        Pass the same `CandidatePool` in each call. Any other sequence is
+        indexed again in each call.
         """
--- a/packages/sycamore-core/src/sycamore_core/decisions/pool.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/pool.py
@@ -1,8 +1,8 @@
-"""Candidates for placement, found by position or by endpoint.
+"""Pool of candidates for placement, indexed by position and by endpoint.
 
-Load pattern: thousands of placements a second among hundreds of endpoints.
-Without the index, each placement would walk all endpoints only to find the
-two or three that matter, which costs more than the rest of the decision.
+Load pattern: thousands of placements per second among hundreds of endpoints.
+Without the index, each placement would iterate over all endpoints to find the
+two or three it needs, which costs more than the rest of the decision.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
@@ -16,15 +16,16 @@
 
 
 class Candidate(msgspec.Struct, kw_only=True):
-    """An endpoint that a request may go to; changed in place.
+    """An endpoint that a request may be sent to; modified in place.
 
     Attributes
     ----------
     sent_tokens, sent_new_tokens, sent_requests
-        Memory in tokens, prompt tokens to compute, and requests that this
-        entry has sent to it since its last report.
+        Memory in tokens, prompt tokens to compute, and number of requests
+        that this entry has sent to the endpoint since its last report.
     weight
-        From 0, nothing is sent, to 1, its full part; health times pace.
+        Share of the usual work, from 0 (none) to 1 (all), given by the health
+        of the endpoint and the rate limit on weight changes.
     """
 
     view: EndpointView
@@ -34,7 +35,7 @@
     weight: float = 1
 
     def has_room(self, request: RequestView) -> bool:
-        """Tell whether the memory of the engine holds the request too."""
+        """Return whether the request fits into the memory of the engine."""
         view = self.view
         if not view.capacity_tokens:
             return True
@@ -42,7 +43,7 @@
 
 
 class CandidatePool(Sequence[Candidate]):
-    """The candidates of one service; each endpoint is in it once.
+    """The candidates of one service; each endpoint occurs once.
 
     Examples
     --------
@@ -58,7 +59,7 @@
     def __init__(self, candidates: Iterable[Candidate] = ()) -> None:
         self.members: list[Candidate] = []
         self.positions: dict[EndpointId, int] = {}
-        #: Grows whenever an endpoint joins or leaves.
+        #: Incremented whenever an endpoint joins or leaves.
         self.generation = 0
         for candidate in candidates:
             self.put(candidate)
@@ -69,11 +70,11 @@
         return candidates if isinstance(candidates, cls) else cls(candidates)
 
     def __getitem__(self, index: int) -> Candidate:
-        """Return the candidate at a position; positions may change."""
+        """Return the candidate at a position; removals change positions."""
         return self.members[index]
 
     def __iter__(self) -> Iterator[Candidate]:
-        """Walk all candidates."""
+        """Iterate over all candidates."""
         return iter(self.members)
 
     def __len__(self) -> int:
@@ -86,7 +87,7 @@
         return None if position is None else self.members[position]
 
     def put(self, candidate: Candidate) -> None:
-        """Add a candidate, or replace that of the same endpoint."""
+        """Add a candidate, or replace the candidate of the same endpoint."""
         endpoint = candidate.view.endpoint
         position = self.positions.get(endpoint)
         if position is not None:
@@ -97,7 +98,7 @@
         self.generation += 1
 
     def remove(self, endpoint: EndpointId) -> None:
-        """Take an endpoint out; the last one takes its position."""
+        """Remove an endpoint and move the last candidate to its position."""
         position = self.positions.pop(endpoint, None)
         if position is None:
             return
@@ -113,7 +114,13 @@
         request: RequestView,
         new_tokens: int,
     ) -> None:
-        """Add what is sent now, of which `new_tokens` are not cached."""
+        """Record a request sent to an endpoint.
+
+        Parameters
+        ----------
+        new_tokens
+            Prompt tokens that the endpoint does not cache.
+        """
         candidate = self.find(endpoint)
         if candidate is None:
             return
@@ -122,7 +129,7 @@
         candidate.sent_requests += 1
 
     def take_report(self, view: EndpointView) -> None:
-        """Take a newer report, which contains what was sent before."""
-        known = self.find(view.endpoint)
-        weight = 1 if known is None else known.weight
+        """Apply a newer report, which includes the requests sent before."""
+        candidate = self.find(view.endpoint)
+        weight = 1 if candidate is None else candidate.weight
         self.put(Candidate(view=view, weight=weight))
--- a/packages/sycamore-core/src/sycamore_core/decisions/replays.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/replays.py
@@ -1,4 +1,4 @@
-"""Replays of single decisions by the modules that took them."""
+"""Replays of single decisions with the modules that made them."""
 
 import functools
 import itertools
@@ -20,7 +20,6 @@
 from .explanation import Explanation, Figure, figures, shown
 from .fair import FairScheduler
 from .health import EndpointHealth
-from .pace import PacedWeights
 from .placement import PrefixPlacement
 from .placement_base import PlacementDecision
 from .pool import CandidatePool
@@ -33,6 +32,7 @@
     Refusal,
     SchedulerSnapshot,
 )
+from .weight_ramp import WeightRamp
 
 Decision = Queued | Refusal | Dispatch
 
@@ -40,7 +40,7 @@
 @functools.singledispatch
 def replay(case: Case) -> Explanation:
     """Replay the decision of a case."""
-    raise DecisionError(f'no replay of {type(case).__name__}')
+    raise DecisionError(f'cannot replay a {type(case).__name__}')
 
 
 @replay.register
@@ -79,16 +79,16 @@
     for sent in case.earlier:
         placement.index.record(sent.blocks, sent.endpoint, sent.at)
     pool = CandidatePool(case.candidates)
-    decided = placement.place(
+    decision = placement.place(
         case.request,
         pool,
         case.now,
         _draw_from(case.draws),
     )
     return Explanation(
-        decision=_where(decided.endpoint),
-        reason=decided.reason.value,
-        figures=_placement_figures(placement, pool, case, decided),
+        decision=_destination(decision.endpoint),
+        reason=decision.reason.value,
+        figures=_placement_figures(placement, pool, case, decision),
     )
 
 
@@ -98,17 +98,17 @@
     for _ in range(case.answered):
         budget.first_try(case.now)
         budget.answered(case.now)
-    left = budget.left(case.now)
-    decided = budget.decide(case.failure, case.now, _draw_from(case.draws))
-    refused = decided.refusal is not None
+    available = budget.available(case.now)
+    decision = budget.decide(case.failure, case.now, _draw_from(case.draws))
+    refused = decision.refusal is not None
     return Explanation(
         decision='refused' if refused else 'tried again',
-        reason=decided.verdict.value,
+        reason=decision.verdict.value,
         figures=figures(
-            refusal=decided.refusal.value if refused else 'none',
-            not_before=decided.not_before,
-            retry_after=decided.retry_after,
-            retries_left_before=left,
+            refusal=decision.refusal.value if refused else 'none',
+            not_before=decision.not_before,
+            retry_after=decision.retry_after,
+            retries_left_before=available,
             attempt=case.failure.attempt,
             time_left=case.failure.request.deadline - case.now,
         ),
@@ -118,7 +118,7 @@
 @replay.register
 def _replay_health(case: HealthCase) -> Explanation:
     health = EndpointHealth()
-    for seen in sorted(case.seen, key=lambda one: one.at):
+    for seen in sorted(case.seen, key=lambda item: item.at):
         health.weights(case.endpoints, seen.at)
         health.observe(seen.endpoint, seen.observation, seen.at)
     weight = health.weights(case.endpoints, case.now).get(case.endpoint, 0)
@@ -132,34 +132,34 @@
             latency_ratio=record.latency_ratio,
             median_ratio=health.median_ratio,
             failure_share=record.failure_share,
-            failures_in_row=record.failures_in_row,
+            failures_in_row=record.consecutive_failures,
             pending=record.pending,
             ejections=record.ejections,
-            relieved=health.relieved,
-            largest_relieved=health.largest_relieved(),
+            relieved=health.out_of_service,
+            largest_relieved=health.max_out_of_service(),
         ),
     )
 
 
 @replay.register
-def _replay_pace(case: PaceCase) -> Explanation:
-    paced = PacedWeights()
+def _replay_ramp(case: PaceCase) -> Explanation:
+    ramp = WeightRamp()
     before = float(0)
     weight = float(0)
     target = float(0)
     for update in case.updates:
         before = weight
         target = update.targets.get(case.endpoint, 0)
-        weights = paced.update(update.targets, update.at)
+        weights = ramp.update(update.targets, update.at)
         weight = weights.get(case.endpoint, 0)
     return Explanation(
         decision=' '.join(('weight', shown(weight))),
-        reason=_pace_reason(target, weight),
+        reason=_ramp_reason(target, weight),
         figures=figures(target=target, weight_before=before),
     )
 
 
-def _pace_reason(target: float, weight: float) -> str:
+def _ramp_reason(target: float, weight: float) -> str:
     if not target:
         return 'target 0 is followed at once'
     if weight == target:
@@ -171,15 +171,15 @@
     placement: PrefixPlacement,
     pool: CandidatePool,
     case: PlacementCase,
-    decided: PlacementDecision,
+    decision: PlacementDecision,
 ) -> tuple[Figure, ...]:
-    found = list(
+    items = list(
         figures(
-            matched_blocks=decided.matched_blocks,
-            new_tokens=decided.new_tokens,
-            expected_seconds=decided.expected_seconds,
-            retry_after=decided.retry_after,
-            members=', '.join(decided.members),
+            matched_blocks=decision.matched_blocks,
+            new_tokens=decision.new_tokens,
+            expected_seconds=decision.expected_seconds,
+            retry_after=decision.retry_after,
+            members=', '.join(decision.members),
         )
     )
     matches = placement.index.matches(case.request.prefix_blocks, case.now)
@@ -191,26 +191,26 @@
             matches.blocks.get(endpoint, 0),
         )
         seconds = shown(estimate.total_seconds)
-        found.append(Figure(f'first token at {endpoint}', seconds))
-    return tuple(found)
+        items.append(Figure(f'first token at {endpoint}', seconds))
+    return tuple(items)
 
 
 def _draw_from(draws: Sequence[float]) -> Draw:
     return functools.partial(next, itertools.cycle(draws or (0.5,)))
 
 
-def _where(endpoint: EndpointId | None) -> str:
+def _destination(endpoint: EndpointId | None) -> str:
     return f'sent to {endpoint}' if endpoint else 'waits'
 
 
 @replay.register
 def _replay_schedule(case: ScheduleCase) -> Explanation:
     if not case.requests:
-        raise DecisionError('no requests')
+        raise DecisionError('the case contains no requests')
     try:
         settings = resolve_tree(bytes(case.tree))
     except SettingsError as error:
-        raise DecisionError(f'tree: {error}') from error
+        raise DecisionError(f'invalid settings tree: {error}') from error
     scheduler = FairScheduler.from_settings(
         settings,
         _draw_from(case.draws),
@@ -218,50 +218,50 @@
     )
     for view in case.endpoints:
         scheduler.update_endpoint(view, case.requests[0].arrival)
-    decided = _decide_all(scheduler, case.requests)
+    decisions = _decide_all(scheduler, case.requests)
     last = case.requests[-1]
     snapshot = scheduler.snapshot(last.arrival)
-    return _schedule_explanation(decided[last.request_id], snapshot)
+    return _schedule_explanation(decisions[last.request_id], snapshot)
 
 
 def _decide_all(
     scheduler: FairScheduler,
     requests: Sequence[RequestView],
 ) -> Mapping[RequestId, Decision]:
-    decided: dict[RequestId, Decision] = {}
+    decisions: dict[RequestId, Decision] = {}
     for request in requests:
         answer = scheduler.submit(request, request.arrival)
-        decided[request.request_id] = answer
+        decisions[request.request_id] = answer
         for decision in scheduler.dispatch(request.arrival):
-            decided[decision.request_id] = decision
-    return decided
+            decisions[decision.request_id] = decision
+    return decisions
 
 
 def _schedule_explanation(
-    decided: Decision,
+    decision: Decision,
     snapshot: SchedulerSnapshot,
 ) -> Explanation:
-    known = figures(waiting=snapshot.waiting, running=snapshot.running)
-    if isinstance(decided, Dispatch):
+    load_figures = figures(waiting=snapshot.waiting, running=snapshot.running)
+    if isinstance(decision, Dispatch):
         return Explanation(
-            decision=_where(decided.endpoint),
-            reason=decided.reason,
-            figures=(*figures(priority=decided.priority), *known),
+            decision=_destination(decision.endpoint),
+            reason=decision.reason,
+            figures=(*figures(priority=decision.priority), *load_figures),
         )
-    if isinstance(decided, Refusal):
+    if isinstance(decision, Refusal):
         return Explanation(
             decision='refused',
-            reason=decided.reason.value,
+            reason=decision.reason.value,
             figures=(
                 *figures(
-                    detail=decided.detail,
-                    retry_after=decided.retry_after,
+                    detail=decision.detail,
+                    retry_after=decision.retry_after,
                 ),
-                *known,
+                *load_figures,
             ),
         )
     return Explanation(
         decision='waits',
         reason='queued',
-        figures=(*figures(expected_wait=decided.expected_wait), *known),
+        figures=(*figures(expected_wait=decision.expected_wait), *load_figures),
     )
--- a/packages/sycamore-core/src/sycamore_core/decisions/retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/retries.py
@@ -1,11 +1,11 @@
-"""Whether a request is tried again, and when.
+"""Retry budget with exponential backoff.
 
-Load pattern: many attempts fail in the same moment, as when a third of the
-endpoints die at once, while the rest are already busy.
+Load pattern: many attempts fail at the same time, for example when a third of
+the endpoints fail together, while the other endpoints are already busy.
 
-Without it: every failed attempt comes back at once, the remaining endpoints
-get the lost share plus the repeats, more attempts time out, and the load
-stays above capacity after the cause is gone.
+Without the budget, each failed attempt is retried immediately. The remaining
+endpoints receive the lost share and the retries, more attempts time out, and
+the load stays above capacity after the cause has ended (a retry storm).
 """
 
 import enum
@@ -18,35 +18,36 @@
 from .requests import RequestView
 from .scheduler import Draw
 
-#: Retries that each first try pays for once it is answered. A fifth that is
-#: paid in advance keeps an overload at 0.8 load alive after its cause is gone;
-#: paid by answers, it dries up as soon as answers fail to come.
-RETRY_SHARE = 0.2
-#: What a failure that is not tried again takes back, so that a spent budget
-#: fills only while answers outnumber failures.
+#: Retries that each first attempt adds to the budget once it is answered. If
+#: 0.2 is added in advance, an overload at a load of 0.8 outlasts its cause;
+#: added on answers, the budget stops growing as soon as answers stop.
+RETRY_CREDIT = 0.2
+#: Retries that a failure without a retry removes from the budget, so that a
+#: spent budget recovers only while answers outnumber failures.
 FAILURE_COST = 0.2
-#: Debt that failures can run up, in retries: 25 answers later it is paid.
-LARGEST_DEBT = 5.0
-#: Time over which unused retries are forgotten, in seconds. A fifth of ten
-#: seconds of first tries covers a third of what is in progress if requests
-#: last six seconds.
-BALANCE_SECONDS = 10.0
-#: Retries that an entry without traffic may make; as many again are paid for
-#: in `BALANCE_SECONDS`. One failure must not be final on a quiet site.
-QUIET_RETRIES = 3.0
-#: Bound of the first random wait, in seconds; it doubles with each attempt.
-#: Twice the time in which an entry learns that a connection is refused.
-FIRST_BACKOFF = 0.1
-#: Bound beyond which it does not double, in seconds: two load reports.
-LONGEST_BACKOFF = 2.0
-#: Attempts at most that may have cost an endpoint work, the first included.
+#: Largest debt that failures can cause, in retries; 25 answers repay it.
+MAX_DEBT = 5.0
+#: Time constant with which unused retries decay, in seconds. A fifth of the
+#: first attempts of ten seconds covers a third of the requests in progress if
+#: requests last six seconds.
+BALANCE_DECAY_SECONDS = 10.0
+#: Budget of an entry without traffic, in retries; it is restored over
+#: `BALANCE_DECAY_SECONDS`. On an idle site, a single failure must not be final.
+IDLE_RETRIES = 3.0
+#: Upper bound of the first random backoff, in seconds; it doubles with each
+#: attempt. It is twice the time in which an entry detects a refused connection.
+FIRST_BACKOFF_SECONDS = 0.1
+#: Largest upper bound of the backoff, in seconds: two load reports.
+MAX_BACKOFF_SECONDS = 2.0
+#: Maximum number of attempts that may cause work at an endpoint, including the
+#: first attempt.
 MAX_ATTEMPTS = 4
-#: Doublings after which `LONGEST_BACKOFF` is reached.
-_DOUBLINGS = 5
+#: Doublings after which `MAX_BACKOFF_SECONDS` is reached.
+_MAX_DOUBLINGS = 5
 
 
 class RetryVerdict(enum.StrEnum):
-    """What follows an attempt that did not answer."""
+    """Whether a failed attempt is retried, and the reason if not."""
 
     RETRY = 'retry'
     IN_DOUBT = 'in_doubt'
@@ -56,18 +57,18 @@
 
 
 class FailedAttempt(msgspec.Struct, frozen=True, kw_only=True):
-    """An attempt that is over without an answer.
+    """An attempt that ended without an answer.
 
     Attributes
     ----------
     attempt
-        Its number, from 1.
+        Number of the attempt, from 1.
     execution
-        Whether it may have run.
+        Whether the request may have run.
     retry_after
-        When the endpoint would take it, in seconds; 0 if it did not say.
+        Delay that the endpoint has requested, in seconds; 0 if none.
     needed_seconds
-        Time that another attempt needs at least, in seconds.
+        Minimum duration of another attempt, in seconds.
     """
 
     request: RequestView
@@ -79,16 +80,17 @@
 
 
 class RetryDecision(msgspec.Struct, frozen=True, kw_only=True):
-    """Whether the request is tried again.
+    """Whether the request is retried.
 
     Attributes
     ----------
     not_before
-        When, on the monotonic clock, if it is tried again.
+        Earliest time of the retry, on the monotonic clock, in seconds.
     refusal
-        What the caller is told, if it is not.
+        Reason sent to the caller if the request is not retried.
     retry_after
-        When the caller may come back, in seconds, if it is not.
+        Delay after which the caller may send the request again if the entry
+        does not retry it, in seconds.
     """
 
     verdict: RetryVerdict
@@ -98,10 +100,10 @@
 
 
 class RetryBudget:
-    """Retries that an entry may still make, as a share of its first tries.
+    """Number of retries that an entry may make, relative to its requests.
 
-    Call `first_try` for each request that is admitted and `answered` when its
-    first token comes.
+    Call `first_try` for each admitted request and `answered` when its first
+    token arrives.
 
     Examples
     --------
@@ -109,29 +111,29 @@
     >>> for _ in range(10):
     ...     budget.first_try(now=0)
     ...     budget.answered(now=0)
-    >>> round(budget.left(now=0), 1)
+    >>> round(budget.available(now=0), 1)
     5.0
     """
 
     def __init__(self) -> None:
-        self.balance = QUIET_RETRIES
-        self.settled_at = -math.inf
-        self.unpaid = 0
+        self.balance = IDLE_RETRIES
+        self.decayed_at = -math.inf
+        self.unanswered = 0
 
     def first_try(self, now: float) -> None:
-        """Note a first attempt, which pays once something is answered."""
-        self.unpaid += 1
+        """Record a first attempt; its answer adds to the budget."""
+        self.unanswered += 1
 
     def answered(self, now: float) -> None:
-        """Note an answer, which pays for a part of a retry."""
-        if self.unpaid:
-            self.unpaid -= 1
-            self._settle(now)
-            self.balance += RETRY_SHARE
-
-    def left(self, now: float) -> float:
-        """Return how many retries could be made now."""
-        self._settle(now)
+        """Record an answer, which adds a part of a retry to the budget."""
+        if self.unanswered:
+            self.unanswered -= 1
+            self._decay_balance(now)
+            self.balance += RETRY_CREDIT
+
+    def available(self, now: float) -> float:
+        """Return the number of retries that the budget allows now."""
+        self._decay_balance(now)
         return self.balance
 
     def decide(
@@ -140,15 +142,15 @@
         now: float,
         draw: Draw,
     ) -> RetryDecision:
-        """Decide whether and when the request is tried again."""
-        wait = self._wait(failure, draw)
+        """Decide whether and when the request is retried."""
+        wait = self._wait_seconds(failure, draw)
         verdict = self._verdict(failure, now, wait)
         if verdict == RetryVerdict.RETRY:
             return RetryDecision(verdict=verdict, not_before=now + wait)
         return RetryDecision(
             verdict=verdict,
             refusal=_REFUSALS[verdict],
-            retry_after=max(failure.retry_after, _COME_BACK[verdict]),
+            retry_after=max(failure.retry_after, _RETRY_AFTER_SECONDS[verdict]),
         )
 
     def _verdict(
@@ -159,8 +161,8 @@
     ) -> RetryVerdict:
         request = failure.request
         if failure.execution != Execution.NOT_RUN and not request.idempotent:
-            # It may have run. A second run would charge a deposit twice, so
-            # the caller is told that the outcome is not known instead.
+            # The request may have run. A second run could charge a deposit
+            # twice, so the caller is told that the outcome is unknown.
             return RetryVerdict.IN_DOUBT
         if now + wait + failure.needed_seconds >= request.deadline:
             return RetryVerdict.DEADLINE
@@ -168,30 +170,34 @@
             return RetryVerdict.RETRY
         if failure.attempt >= MAX_ATTEMPTS:
             return RetryVerdict.ATTEMPTS_SPENT
-        return self._pay(now)
-
-    def _pay(self, now: float) -> RetryVerdict:
-        # An offer that was declined cost the endpoint no work and is held
-        # back by its wait alone; every other retry is paid for.
-        if self.left(now) < 1:
-            owed = max(-LARGEST_DEBT, self.balance - FAILURE_COST)
-            self.balance = owed
+        return self._spend(now)
+
+    def _spend(self, now: float) -> RetryVerdict:
+        # A declined offer caused no work at the endpoint, so its retry is
+        # limited only by the backoff. Every other retry uses the budget.
+        if self.available(now) < 1:
+            balance = max(-MAX_DEBT, self.balance - FAILURE_COST)
+            self.balance = balance
             return RetryVerdict.BUDGET_SPENT
         self.balance -= 1
         return RetryVerdict.RETRY
 
-    def _wait(self, failure: FailedAttempt, draw: Draw) -> float:
-        doublings = min(failure.attempt - 1, _DOUBLINGS)
-        backoff = min(LONGEST_BACKOFF, FIRST_BACKOFF * 2**doublings)
+    def _wait_seconds(self, failure: FailedAttempt, draw: Draw) -> float:
+        doublings = min(failure.attempt - 1, _MAX_DOUBLINGS)
+        backoff = min(MAX_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2**doublings)
         return failure.retry_after + backoff * draw()
 
-    def _settle(self, now: float) -> None:
-        # The balance nears QUIET_RETRIES from either side.
-        if now <= self.settled_at:
+    def _decay_balance(self, now: float) -> None:
+        # The balance decays exponentially towards IDLE_RETRIES.
+        if now <= self.decayed_at:
             return
-        kept = math.exp((self.settled_at - now) / BALANCE_SECONDS)
-        self.balance = self.balance * kept + QUIET_RETRIES * (1 - kept)
-        self.settled_at = now
+        remaining_share = math.exp(
+            (self.decayed_at - now) / BALANCE_DECAY_SECONDS
+        )
+        self.balance = self.balance * remaining_share + IDLE_RETRIES * (
+            1 - remaining_share
+        )
+        self.decayed_at = now
 
 
 _REFUSALS = types.MappingProxyType(
@@ -202,13 +208,13 @@
         RetryVerdict.BUDGET_SPENT: RefusalReason.RETRY_BUDGET_SPENT,
     }
 )
-#: When a caller may come back, in seconds. After a spent budget the balance
-#: needs about this long to pay for the next retries.
-_COME_BACK = types.MappingProxyType(
+#: `retry_after` of each verdict, in seconds. A spent budget needs about this
+#: time to allow the next retries.
+_RETRY_AFTER_SECONDS = types.MappingProxyType(
     {
         RetryVerdict.IN_DOUBT: 0,
-        RetryVerdict.DEADLINE: LONGEST_BACKOFF,
-        RetryVerdict.ATTEMPTS_SPENT: LONGEST_BACKOFF,
-        RetryVerdict.BUDGET_SPENT: BALANCE_SECONDS / 2,
+        RetryVerdict.DEADLINE: MAX_BACKOFF_SECONDS,
+        RetryVerdict.ATTEMPTS_SPENT: MAX_BACKOFF_SECONDS,
+        RetryVerdict.BUDGET_SPENT: BALANCE_DECAY_SECONDS / 2,
     }
 )
--- a/packages/sycamore-core/src/sycamore_core/decisions/reuse.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/reuse.py
@@ -1,43 +1,44 @@
-"""How often prompts of a service come back.
+"""Estimate of how often the prompts of a service are repeated.
 
-Load pattern: conversations whose turns come through any entry, or prompts
-that share nothing.
+Load pattern: conversations whose requests arrive at any entry, or prompts
+without a common prefix.
 
-Without it: an entry that presumes a cache at the home of each prompt crowds
-prompts that never come back on the homes that the hash happens to choose; one
-that never presumes it loses the caches that other entries have filled.
+Without the estimate, an entry must either always or never assume a cached
+prefix at the home of a prompt. If it always does, prompts that are never
+repeated crowd on the homes that the hash selects. If it never does, the caches
+that other entries have filled are not used.
 """
 
-#: Requests over which the rate is averaged; a change of the load pattern is
-#: followed within a few hundred requests, seconds at a busy entry.
+#: Number of requests over which the rate is averaged. The rate follows a change
+#: of the load pattern within a few hundred requests, seconds at a busy entry.
 _AVERAGED_REQUESTS = 100
-#: Part of the requests that come back from which on the home is believed. An
-#: entry sees only the turns that come through itself, so it is set low.
-_CONVINCING_RATE = 0.1
+#: Share of repeated prompts from which the home is fully trusted to cache a
+#: prompt. It is low because an entry sees only the requests it receives itself.
+_FULL_TRUST_RATE = 0.1
 
 
 class ReuseRate:
-    """Part of the requests whose prompt this entry has sent before.
+    """Share of the requests whose prompt this entry has sent before.
 
     Examples
     --------
     >>> rate = ReuseRate()
-    >>> rate.belief
+    >>> rate.home_trust
     1
     >>> for _ in range(200):
-    ...     rate.note(came_back=False)
-    >>> round(rate.belief, 2)
+    ...     rate.record(is_repeat=False)
+    >>> round(rate.home_trust, 2)
     0.13
     """
 
     def __init__(self) -> None:
-        self.rate = _CONVINCING_RATE
+        self.rate = _FULL_TRUST_RATE
 
     @property
-    def belief(self) -> float:
-        """How far the home of a prompt is presumed to cache it, to 1."""
-        return min(1, self.rate / _CONVINCING_RATE)
+    def home_trust(self) -> float:
+        """Confidence that the home caches a prompt, from 0 to 1."""
+        return min(1, self.rate / _FULL_TRUST_RATE)
 
-    def note(self, *, came_back: bool) -> None:
-        """Take one more request into account."""
-        self.rate += (came_back - self.rate) / _AVERAGED_REQUESTS
+    def record(self, *, is_repeat: bool) -> None:
+        """Add one request to the average."""
+        self.rate += (is_repeat - self.rate) / _AVERAGED_REQUESTS
--- a/packages/sycamore-core/src/sycamore_core/decisions/subset.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/subset.py
@@ -1,10 +1,10 @@
-"""Which endpoints an entry exchanges heartbeats with.
+"""Choice of the endpoints with which an entry exchanges heartbeats.
 
-Load pattern: 350 entries and 770 endpoints. One heartbeat and one report of
-about 260 bytes together for each pair and second are 200 KB/s at each entry.
+Load pattern: 350 entries and 770 endpoints. One heartbeat and one report,
+about 260 bytes together, per pair and second add up to 200 KB/s at each entry.
 
-Without it: that is ten times the 19 KB/s that a node may spend on control,
-and every endpoint process answers 350 entries a second.
+Without subsets, this is ten times the 19 KB/s that a node may use for control
+traffic, and each endpoint process answers 350 entries per second.
 """
 
 from collections.abc import Mapping, Sequence
@@ -13,23 +13,25 @@
 from ..ids import EntryId, RegionId, ZoneId
 from ..settings import EndpointSettings
 
-#: Endpoints of one service that an entry uses. Six services times twelve are
-#: 72 peers, 19 KB/s; a random dozen still leaves two choices their effect.
+#: Number of endpoints of one service that an entry uses. Twelve endpoints of
+#: each of six services are 72 peers, or 19 KB/s. Twelve random endpoints are
+#: enough for load balancing by the better of two random choices.
 SUBSET_SIZE = 12
-#: Part of a subset that is filled from the entry's own zone first; the rest
-#: comes from other zones, so that an entry outlives the loss of its zone.
+#: Share of a subset that comes from the entry's own zone. The rest comes from
+#: other zones, so that an entry keeps endpoints if its zone is lost.
 _OWN_ZONE_SHARE = 0.5
-#: Part that is filled from other zones of the region before other regions.
+#: Share of a subset that comes from the entry's own region, before endpoints of
+#: other regions are added.
 _REGION_SHARE = 0.75
 
 
 class SubsetChooser:
-    """Chooses the subset of one entry by distance and rendezvous rank.
+    """Choice of an entry's subset by distance and rendezvous hashing.
 
     Parameters
     ----------
     entry, zone
-        The entry and where it is.
+        The entry and its zone.
     zones
         Region of each zone.
     size
@@ -55,23 +57,25 @@
         """Return the endpoints of one service that the entry uses.
 
         An endpoint that joins or leaves changes one place of the subset, as
-        each endpoint's rank depends on its own name and the entry's only.
+        the rank of an endpoint depends only on its name and the entry's name.
         """
         ranked = sorted(endpoints, key=self._rank)
         if len(ranked) <= self.size:
             return tuple(ranked)
-        own = [one for one in ranked if one.zone == self.zone]
-        near = [one for one in ranked if self._is_near(one)]
+        own = [endpoint for endpoint in ranked if endpoint.zone == self.zone]
+        nearby = [
+            endpoint for endpoint in ranked if self._is_in_nearby_zone(endpoint)
+        ]
         chosen = own[: round(self.size * _OWN_ZONE_SHARE)]
         limit = max(len(chosen), round(self.size * _REGION_SHARE))
-        chosen.extend(near[: limit - len(chosen)])
-        rest = [one for one in ranked if one not in chosen]
+        chosen.extend(nearby[: limit - len(chosen)])
+        rest = [endpoint for endpoint in ranked if endpoint not in chosen]
         return tuple(chosen + rest[: self.size - len(chosen)])
 
     def _rank(self, endpoint: EndpointSettings) -> int:
         return stable_hash(f'{self.entry}|{endpoint.endpoint}')
 
-    def _is_near(self, endpoint: EndpointSettings) -> bool:
+    def _is_in_nearby_zone(self, endpoint: EndpointSettings) -> bool:
         if endpoint.zone == self.zone:
             return False
         region = self.zones.get(endpoint.zone)
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_groups.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_groups.py
@@ -1,4 +1,4 @@
-"""Members of a group as the reservation sees them, and a lossy network."""
+"""Models of group members and of a network that loses and reorders packets."""
 
 import msgspec
 
@@ -15,43 +15,45 @@
 CAPACITY = 100
 
 
-class ModelMember:
-    """Memory of one endpoint, leased to groups until a moment each."""
+class MemberModel:
+    """Memory of one endpoint, with one lease per group and its expiry."""
 
     def __init__(self):
         self.leases = {}
         self.restarted_at = -1
 
-    def held_tokens(self, now):
+    def leased_tokens(self, now):
         return sum(
-            tokens for tokens, until in self.leases.values() if until > now
+            tokens
+            for tokens, expires_at in self.leases.values()
+            if expires_at > now
         )
 
-    def holds(self, group, now):
+    def has_lease(self, group, now):
         return group in self.leases and self.leases[group][1] > now
 
     def restart(self, now):
         self.leases.clear()
         self.restarted_at = now
 
-    def take(self, message, now):
+    def handle(self, message, now):
         if isinstance(message, GroupRelease):
             self.leases.pop(message.group, None)
             return None
-        held = self.holds(message.group, now)
-        if isinstance(message, GroupReserve) and not held:
-            free = CAPACITY - self.held_tokens(now)
+        granted = self.has_lease(message.group, now)
+        if isinstance(message, GroupReserve) and not granted:
+            free = CAPACITY - self.leased_tokens(now)
             if message.tokens <= free:
                 self.leases[message.group] = (message.tokens, now)
-                held = True
-        if held:
+                granted = True
+        if granted:
             tokens = self.leases[message.group][0]
-            until = now + message.lease_seconds
-            self.leases[message.group] = (tokens, until)
+            expires_at = now + message.lease_seconds
+            self.leases[message.group] = (tokens, expires_at)
         return GroupAnswer(
             group=message.group,
             span=0,
-            granted=held,
+            granted=granted,
             number=message.number,
         )
 
@@ -62,17 +64,17 @@
     message: GroupReserve | GroupRenew | GroupRelease | GroupAnswer
 
 
-class ModelGroups:
-    """Leaders and members that exchange packets in any order."""
+class GroupNetwork:
+    """Leaders and members that exchange packets in arbitrary order."""
 
     def __init__(self):
         self.now = 0
-        self.members = {name: ModelMember() for name in MEMBERS}
+        self.members = {name: MemberModel() for name in MEMBERS}
         self.leaders = {}
-        self.dead = set()
+        self.failed_groups = set()
         self.packets = []
 
-    def begin(self, names, tokens=CAPACITY):
+    def start_group(self, names, tokens=CAPACITY):
         group = f'g{len(self.leaders)}'
         spans = [
             Span(name, number * tokens, tokens)
@@ -82,9 +84,9 @@
         self.leaders[group] = reservation
         return reservation
 
-    def step(self):
-        """Let every leader send what is due."""
-        for group, leader in self.living().items():
+    def send_due(self):
+        """Queue the due messages of all live leaders."""
+        for group, leader in self.live_leaders().items():
             self.packets.extend(
                 Packet(group, sent.endpoint, sent.message)
                 for sent in leader.due(self.now)
@@ -93,30 +95,30 @@
     def deliver(self, position):
         packet = self.packets.pop(position % len(self.packets))
         if isinstance(packet.message, GroupAnswer):
-            leader = self.living().get(packet.group)
+            leader = self.live_leaders().get(packet.group)
             if leader is not None:
                 leader.take_answer(packet.endpoint, packet.message, self.now)
             return
-        answer = self.members[packet.endpoint].take(packet.message, self.now)
+        answer = self.members[packet.endpoint].handle(packet.message, self.now)
         if answer is not None:
             self.packets.append(Packet(packet.group, packet.endpoint, answer))
 
-    def settle(self, seconds):
-        """Run without faults, delivering everything."""
+    def run_without_faults(self, seconds):
+        """Run without faults and deliver all packets."""
         end = self.now + seconds
         while self.now < end:
-            self.step()
+            self.send_due()
             while self.packets:
                 self.deliver(0)
             self.now += 0.25
 
-    def living(self):
+    def live_leaders(self):
         return {
             group: leader
             for group, leader in self.leaders.items()
-            if group not in self.dead
+            if group not in self.failed_groups
         }
 
-    def held(self):
-        living = self.living().values()
-        return [one for one in living if one.is_held(self.now)]
+    def reserved_groups(self):
+        leaders = self.live_leaders().values()
+        return [leader for leader in leaders if leader.is_held(self.now)]
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_placement.py
@@ -1,8 +1,8 @@
 """Builders of candidates and requests, and a small queueing model.
 
-The model has engines that compute prompts one after the other and keep the
-blocks used last, and entries that see each engine as it was some time ago.
-It knows no batches and no decoding: it serves to compare placements.
+In the model, engines compute one prompt at a time and keep the most recently
+used blocks, and entries receive outdated reports of each engine. The model has
+no batches and no decoding; its purpose is to compare placements.
 """
 
 import random
@@ -66,7 +66,7 @@
 
 
 def build_prompt(request_id: str, blocks: Sequence[int]) -> RequestView:
-    """A request whose prompt consists of these blocks."""
+    """Return a request whose prompt consists of `blocks`."""
     return build_request(
         request_id=request_id,
         prompt_tokens=len(blocks) * BLOCK_TOKENS,
@@ -79,8 +79,8 @@
     request: RequestView
 
 
-class ModelEngine:
-    """Computes prompts in order of arrival, `rate` tokens a second."""
+class EngineModel:
+    """Engine that computes prompts in order of arrival, at a fixed rate."""
 
     def __init__(self, view: EndpointView, cache_blocks: int) -> None:
         self.view = view
@@ -93,7 +93,7 @@
         self.runs: list[tuple[float, float]] = []
 
     def run(self, request: RequestView, now: float) -> float:
-        """Return the time at which the first token comes."""
+        """Return the time of the first token."""
         cached = 0
         for block in request.prefix_blocks:
             if block not in self.cache:
@@ -112,7 +112,7 @@
         return self.busy_until
 
     def report(self, now: float, lag: float) -> EndpointView:
-        """Return the load as it was `lag` seconds ago."""
+        """Return a report of the load as it was `lag` seconds ago."""
         seen = now - lag
         while len(self.history) > 1 and self.history[1][0] <= seen:
             self.history.pop(0)
@@ -127,16 +127,16 @@
         )
 
 
-class Model:
-    """Engines behind several entries that do not know each other's sends.
+class PlacementModel:
+    """Engines behind several entries that do not know each other's requests.
 
-    Each entry takes the reports of all engines every `interval` seconds,
-    `lag` seconds old.
+    Each entry receives the reports of all engines every `interval` seconds.
+    The reports are `lag` seconds old.
     """
 
     def __init__(
         self,
-        engines: Sequence[ModelEngine],
+        engines: Sequence[EngineModel],
         placements: Sequence[Placement],
         interval: float = 1,
         lag: float = 0,
@@ -152,7 +152,7 @@
         arrivals: Iterable[Arrival],
         draw: Callable[[], float],
     ) -> list[float]:
-        """Return each caller's time to first token."""
+        """Return the time to first token of each arrival, in seconds."""
         return [self._run_one(arrival, draw) for arrival in arrivals]
 
     def computed_tokens(self) -> int:
@@ -179,8 +179,8 @@
                 pool.take_report(view)
 
 
-def build_engines(size: int, cache_blocks: int = 4000) -> list[ModelEngine]:
-    return [ModelEngine(build_view(one), cache_blocks) for one in range(size)]
+def build_engines(size: int, cache_blocks: int = 4000) -> list[EngineModel]:
+    return [EngineModel(build_view(one), cache_blocks) for one in range(size)]
 
 
 def build_conversations(
@@ -189,28 +189,28 @@
     engines: int,
     seconds: float = 120,
 ) -> list[Arrival]:
-    """Conversations of several turns, each repeating the turns before.
+    """Return conversations in which each prompt extends the previous one.
 
-    The load is that of the tokens that no earlier turn has, as a part of
-    what the engines compute.
+    The load counts the tokens that are new in each prompt, as a share of the
+    capacity of the engines.
     """
     source = random.Random(seed)
     fresh_tokens = 12 * BLOCK_TOKENS
     rate = load * engines * RATE / fresh_tokens
     arrivals = []
     at = float(0)
-    open_turns: list[list[int]] = []
+    open_conversations: list[list[int]] = []
     while at < seconds:
         at += source.expovariate(rate)
-        if not open_turns or source.choices((True, False), (1, 4))[0]:
-            open_turns.append([])
-        blocks = source.choice(open_turns)
+        if not open_conversations or source.choices((True, False), (1, 4))[0]:
+            open_conversations.append([])
+        blocks = source.choice(open_conversations)
         blocks.extend(source.getrandbits(60) for _ in range(12))
         arrivals.append(
             Arrival(at, build_prompt(str(len(arrivals)), blocks)),
         )
         if len(blocks) > 200 or source.randrange(10) == 0:
-            open_turns.remove(blocks)
+            open_conversations.remove(blocks)
     return arrivals
 
 
@@ -221,9 +221,9 @@
     hot_share: float,
     seconds: float = 60,
 ) -> list[Arrival]:
-    """Prompts of 40 blocks; a `hot_share` of them begin with the same 36.
+    """Return prompts of 40 blocks, a `hot_share` of them with 36 in common.
 
-    The load is that of the blocks that differ.
+    The load counts the blocks that differ.
     """
     source = random.Random(seed)
     shared = [source.getrandbits(60) for _ in range(36)]
@@ -248,7 +248,7 @@
     engines: int,
     seconds: float = 60,
 ) -> list[Arrival]:
-    """Prompts that share nothing, one in ten of them 20 times longer."""
+    """Return prompts without common blocks, one in ten 20 times longer."""
     source = random.Random(seed)
     rate = load * engines * RATE / (2900)
     arrivals = []
@@ -265,7 +265,7 @@
 
 
 class LeastLoadedPlacement(Placement):
-    """Sends to the endpoint with the least backlog, as last reported."""
+    """Placement on the endpoint with the least reported backlog."""
 
     def place(self, request, candidates, now, draw):
         chosen = min(candidates, key=lambda one: one.view.backlog_tokens)
@@ -277,9 +277,10 @@
 
 
 class InFlightSpill(PrefixPlacement):
-    """The published rule: the matched endpoint unless it has 8 more in flight.
+    """Published rule: the matched endpoint unless 8 more are in flight there.
 
-    Then the one with the fewest in flight, found by looking at all.
+    Otherwise, the rule chooses the endpoint with the fewest requests in
+    flight among all endpoints.
     """
 
     def place(self, request, candidates, now, draw):
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_retries.py
@@ -1,9 +1,9 @@
-"""A model of endpoints of which some die, for the tests of retries.
+"""Model of endpoints of which some fail, for the tests of retries.
 
-Each request takes one second at an endpoint. An attempt that is not begun
-within three seconds is given up by the entry, but the endpoint still works on
-it. Endpoints that are dead refuse at once; the entry goes on choosing them
-until it has missed their heartbeats for three seconds.
+Each request takes one second at an endpoint. The entry cancels an attempt that
+does not start within three seconds, but the endpoint still processes it. Failed
+endpoints refuse immediately. The entry continues to choose them until it has
+missed their heartbeats for three seconds.
 """
 
 import abc
@@ -24,8 +24,8 @@
 SERVICE_SECONDS = 1
 ATTEMPT_SECONDS = 3
 TIME_LIMIT = 10
-NOTICE_SECONDS = 3
-REFUSED_SECONDS = 0.05
+DETECTION_SECONDS = 3
+REFUSAL_SECONDS = 0.05
 
 
 def build_failure(**changes):
@@ -39,36 +39,36 @@
 class RetryPolicy(abc.ABC):
     @abc.abstractmethod
     def first_try(self, now):
-        """Note a first attempt."""
+        """Record a first attempt."""
 
     @abc.abstractmethod
     def answered(self, now):
-        """Note an answer."""
+        """Record an answer."""
 
     @abc.abstractmethod
-    def again_at(self, deadline, attempt, now):
-        """Return when to try again, or None."""
+    def retry_at(self, deadline, attempt, now):
+        """Return the time of the retry, or None."""
 
 
-class AtOnce(RetryPolicy):
-    """Tries again at once until the time limit; the naive baseline."""
+class ImmediateRetries(RetryPolicy):
+    """Immediate retries until the time limit; the naive baseline."""
 
     def first_try(self, now):
-        """Nothing to note."""
+        """Do nothing."""
 
     def answered(self, now):
-        """Nothing to note."""
+        """Do nothing."""
 
-    def again_at(self, deadline, attempt, now):
+    def retry_at(self, deadline, attempt, now):
         return now if now < deadline else None
 
 
-class Never(AtOnce):
-    def again_at(self, deadline, attempt, now):
-        """Give up."""
+class NoRetries(ImmediateRetries):
+    def retry_at(self, deadline, attempt, now):
+        """Return None: never retry."""
 
 
-class Budgeted(RetryPolicy):
+class BudgetedRetries(RetryPolicy):
     def __init__(self, draw):
         self.budget = RetryBudget()
         self.draw = draw
@@ -79,7 +79,7 @@
     def answered(self, now):
         self.budget.answered(now)
 
-    def again_at(self, deadline, attempt, now):
+    def retry_at(self, deadline, attempt, now):
         failure = build_failure(
             request=build_request(deadline=deadline),
             attempt=attempt,
@@ -87,18 +87,18 @@
             needed_seconds=SERVICE_SECONDS,
         )
         decided = self.budget.decide(failure, now, self.draw)
-        again = decided.verdict == RetryVerdict.RETRY
-        return decided.not_before if again else None
+        retry = decided.verdict == RetryVerdict.RETRY
+        return decided.not_before if retry else None
 
 
 class Outage(msgspec.Struct, frozen=True):
-    begins: float
-    ends: float
-    dead: frozenset
+    begin: float
+    end: float
+    failing: frozenset
 
 
 class RetryModel:
-    """Runs arrivals against endpoints some of which die for a while."""
+    """Run of arrivals against endpoints of which some fail temporarily."""
 
     def __init__(self, size, policy, outage, seed):
         self.busy_until = [0 for _ in range(size)]
@@ -110,7 +110,7 @@
         self.events = []
 
     def run(self, rate, seconds):
-        """Return each answered arrival's time to answer, by arrival time."""
+        """Return the time to answer of each answered request, by arrival."""
         at = 0
         while at < seconds:
             at += self.draw.expovariate(rate)
@@ -133,43 +133,45 @@
         if attempt == 0:
             self.policy.first_try(now)
         self.attempts += 1
-        done, works = self._offer(self._choose(now), now)
-        if works and done <= deadline:
+        done, is_answered = self._offer(self._choose(now), now)
+        if is_answered and done <= deadline:
             self.answered[arrived] = done - arrived
             heapq.heappush(self.events, (done, -1, None))
             return
         failed = min(done, deadline)
-        again = self.policy.again_at(deadline, attempt + 1, failed)
-        if again is not None and failed < deadline:
-            heapq.heappush(self.events, (again, arrived, attempt + 1))
+        retry = self.policy.retry_at(deadline, attempt + 1, failed)
+        if retry is not None and failed < deadline:
+            heapq.heappush(self.events, (retry, arrived, attempt + 1))
 
     def _offer(self, endpoint, now):
-        """Return when the attempt ends, and whether by an answer."""
+        """Return the end of the attempt, and whether it was answered."""
         outage = self.outage
-        mortal = endpoint in outage.dead
-        if mortal and outage.begins <= now < outage.ends:
-            return now + REFUSED_SECONDS, False
-        if mortal and now >= outage.ends:
+        fails = endpoint in outage.failing
+        if fails and outage.begin <= now < outage.end:
+            return now + REFUSAL_SECONDS, False
+        if fails and now >= outage.end:
             self.busy_until[endpoint] = max(
-                outage.ends,
+                outage.end,
                 self.busy_until[endpoint],
             )
         start = max(now, self.busy_until[endpoint])
         self.busy_until[endpoint] = start + SERVICE_SECONDS
-        if mortal and now < outage.begins < start + SERVICE_SECONDS:
-            self.busy_until[endpoint] = outage.ends
-            return outage.begins, False
+        if fails and now < outage.begin < start + SERVICE_SECONDS:
+            self.busy_until[endpoint] = outage.end
+            return outage.begin, False
         if start - now > ATTEMPT_SECONDS:
             return now + ATTEMPT_SECONDS, False
         return start + SERVICE_SECONDS, True
 
     def _choose(self, now):
         outage = self.outage
-        known = outage.begins + NOTICE_SECONDS <= now < outage.ends
+        is_detected = outage.begin + DETECTION_SECONDS <= now < outage.end
         names = [
             number
             for number in range(len(self.busy_until))
-            if not (known and number in outage.dead)
+            if not (is_detected and number in outage.failing)
         ]
         first, second = self.draw.choices(names, k=2)
-        return min(first, second, key=lambda one: self.busy_until[one])
+        return min(
+            first, second, key=lambda endpoint: self.busy_until[endpoint]
+        )
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/figures_health.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/figures_health.py
@@ -1,9 +1,9 @@
 """Prints the figures of docs/decisions/slow-endpoints.md.
 
 Run ``python -m sycamore_core.decisions.tests.figures_health``. Each line:
-load, number of bad endpoints of ten and their fault, with or without health;
-then the share of callers answered within a second during the 40 s of the
-fault, the 40 s after it, and later. Means of three seeds.
+load, number of faulty endpoints of ten and their fault, with or without health
+checks; then the share of callers answered within a second during the 40 s of
+the fault, the 40 s after it, and later. Means of three seeds.
 """
 
 import itertools
@@ -24,17 +24,17 @@
         (1, 3, 5),
         (False, True),
     )
-    for load, fault, bad, judged in cases:
-        faults = dict.fromkeys(range(bad), fault)
-        runs = [measure(faults, load, judged, seed) for seed in (1, 2, 3)]
+    for load, fault, faulty, uses_health in cases:
+        faults = dict.fromkeys(range(faulty), fault)
+        runs = [measure(faults, load, uses_health, seed) for seed in (1, 2, 3)]
         figures = [statistics.mean(each) for each in zip(*runs)]
         shown = ' '.join(str(round(each, 3)) for each in figures)
-        name = 'health' if judged else 'none'
-        sys.stdout.write(f'{load}, {bad} {fault.value}, {name}: {shown}\n')
+        name = 'health' if uses_health else 'none'
+        sys.stdout.write(f'{load}, {faulty} {fault.value}, {name}: {shown}\n')
 
 
-def measure(faults, load, judged, seed):
-    model = HealthModel(SIZE, faults, BEGINS, ENDS, judged=judged)
+def measure(faults, load, uses_health, seed):
+    model = HealthModel(SIZE, faults, BEGINS, ENDS, uses_health=uses_health)
     model.run(load, LAST, seed)
     return [model.answered(*period, within=1) for period in PERIODS]
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/figures_placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/figures_placement.py
@@ -1,8 +1,8 @@
 """Prints the figures of docs/decisions/where.md.
 
 Run ``python -m sycamore_core.decisions.tests.figures_placement``. Each line:
-load pattern, load, entries, policy; then time to first token p50, p95 and p99
-in seconds and millions of tokens computed, means of three seeds.
+load pattern, load, entries, policy; then p50, p95 and p99 of the time to first
+token in seconds, and millions of tokens computed. Means of three seeds.
 """
 
 import random
@@ -18,7 +18,7 @@
 from .builders_placement import (
     InFlightSpill,
     LeastLoadedPlacement,
-    Model,
+    PlacementModel,
     build_conversations,
     build_engines,
     build_settings,
@@ -68,7 +68,7 @@
 
 def measure(arrivals, make, entries, seed):
     placements = [make(build_settings()) for _ in range(entries)]
-    model = Model(build_engines(ENGINES), placements, lag=LAG)
+    model = PlacementModel(build_engines(ENGINES), placements, lag=LAG)
     waits = model.run(arrivals, random.Random(seed + 100).random)
     tails = (percentile(waits, share) for share in (0.5, 0.95, 0.99))
     return *tails, model.computed_tokens() / 1e6
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/figures_retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/figures_retries.py
@@ -1,24 +1,30 @@
 """Prints the figures of docs/decisions/retries.md.
 
 Run ``python -m sycamore_core.decisions.tests.figures_retries``. Each line:
-load, policy; then the share of callers answered, by when they came: before,
-at the deaths, during the outage, ten seconds after it, later; and attempts a
-caller. Means of four seeds.
+load, policy; then the share of callers answered, by their arrival: before the
+outage, at its start, during it, in the ten seconds after it, and later; and
+attempts per caller. Means of four seeds.
 """
 
 import random
 import statistics
 import sys
 
-from .builders_retries import AtOnce, Budgeted, Never, Outage, RetryModel
+from .builders_retries import (
+    BudgetedRetries,
+    ImmediateRetries,
+    NoRetries,
+    Outage,
+    RetryModel,
+)
 
 SIZE = 30
 OUTAGE = Outage(30, 50, frozenset(range(10)))
 PERIODS = ((0, 25), (28, 35), (35, 50), (50, 60), (60, 120))
 POLICIES = (
-    ('never', lambda seed: Never()),
-    ('at once', lambda seed: AtOnce()),
-    ('budget', lambda seed: Budgeted(random.Random(seed).random)),
+    ('never', lambda seed: NoRetries()),
+    ('at once', lambda seed: ImmediateRetries()),
+    ('budget', lambda seed: BudgetedRetries(random.Random(seed).random)),
 )
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_explain.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Replay of decisions from JSON documents."""
+"""Tests of the replay of decisions from JSON documents."""
 
 import json
 
@@ -20,7 +20,7 @@
     return {one.name: one.shown for one in explanation.figures}
 
 
-def placement_case(**changes):
+def replay_placement(**changes):
     case = {
         'decision': 'placement',
         'request': build_prompt('1', range(20)),
@@ -31,8 +31,8 @@
     return replay(**(case | changes))
 
 
-def test_placement_names_the_holder_and_every_estimate():
-    shown = placement_case()
+def test_placement_shows_holder_and_estimates():
+    shown = replay_placement()
     assert (shown.decision, shown.reason) == ('sent to 002', 'prefix')
     named = figures(shown)
     assert float(named['first token at 002']) < float(
@@ -40,13 +40,13 @@
     )
 
 
-def test_placement_that_waits():
+def test_placement_waits_if_memory_is_full():
     full = list(build_pool(4, free_tokens=1))
-    shown = placement_case(candidates=full)
+    shown = replay_placement(candidates=full)
     assert (shown.decision, shown.reason) == ('waits', 'memory_full')
 
 
-def test_admission_that_refuses():
+def test_admission_refuses_unreachable_deadline():
     shown = replay(
         decision='admission',
         request=build_request(deadline=10),
@@ -84,7 +84,7 @@
     assert figures(shown)['retries left before'] == '5.0'
 
 
-def test_health_of_a_failing_endpoint():
+def test_health_of_failing_endpoint():
     failed = {'kind': 'failed'}
     seen = [
         {'endpoint': 'a', 'at': at, 'observation': failed} for at in (1, 2, 3)
@@ -99,7 +99,7 @@
     assert (shown.decision, shown.reason) == ('ejected, 0', 'failures')
 
 
-def schedule_case(**changes):
+def replay_schedule(**changes):
     tree = {
         'version': 1,
         'name': 'test',
@@ -115,9 +115,9 @@
     return replay(**(case | changes))
 
 
-def test_schedule_of_the_last_request():
-    assert schedule_case().decision.startswith('sent to')
-    refused = schedule_case(endpoints=[])
+def test_schedule_explains_last_request():
+    assert replay_schedule().decision.startswith('sent to')
+    refused = replay_schedule(endpoints=[])
     assert (refused.decision, refused.reason) == ('refused', 'no_endpoint')
 
 
@@ -133,6 +133,6 @@
         b'{"decision": "schedule", "tree": 1, "endpoints": [], "requests": []}',
     ],
 )
-def test_what_cannot_be_replayed_is_refused(case):
+def test_invalid_document_is_rejected(case):
     with pytest.raises(DecisionError):
         explain(case)
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
@@ -1,4 +1,4 @@
-"""The leader's reservation of a group, alone and under faults."""
+"""Tests of the reservation of a group, with and without faults."""
 
 import pytest
 from hypothesis import settings, stateful
@@ -10,120 +10,122 @@
 )
 from sycamore_core.decisions.group_times import (
     LEASE_SECONDS,
-    PATIENCE_SECONDS,
+    RESERVATION_TIMEOUT_SECONDS,
 )
 from sycamore_core.errors import DecisionError
 from sycamore_core.messages.groups import GroupReserve
 
-from .builders_groups import CAPACITY, MEMBERS, ModelGroups
+from .builders_groups import CAPACITY, MEMBERS, GroupNetwork
 
 
-def free_everywhere(model):
+def all_memory_is_free(model):
     return all(
-        not member.held_tokens(model.now) for member in model.members.values()
+        not member.leased_tokens(model.now) for member in model.members.values()
     )
 
 
-def test_members_are_asked_in_the_order_of_ids():
-    model = ModelGroups()
-    leader = model.begin(('e3', 'e1', 'e2'))
-    asked = []
+def test_members_are_reserved_in_order_of_ids():
+    model = GroupNetwork()
+    leader = model.start_group(('e3', 'e1', 'e2'))
+    requested = []
     while leader.state == ReservationState.RESERVING:
-        model.step()
-        asked.extend(packet.endpoint for packet in model.packets)
+        model.send_due()
+        requested.extend(packet.endpoint for packet in model.packets)
         while model.packets:
             model.deliver(0)
-    assert asked == ['e1', 'e2', 'e3']
+    assert requested == ['e1', 'e2', 'e3']
 
 
 def test_leases_are_renewed_and_released():
-    model = ModelGroups()
-    leader = model.begin(MEMBERS)
-    model.settle(60)
+    model = GroupNetwork()
+    leader = model.start_group(MEMBERS)
+    model.run_without_faults(60)
     assert leader.state == ReservationState.HELD
     leader.release(model.now)
-    model.settle(1)
-    assert free_everywhere(model)
+    model.run_without_faults(1)
+    assert all_memory_is_free(model)
 
 
-def test_two_groups_that_need_each_others_members():
-    """Two long prompts want the same engines, named in opposite order.
+def test_groups_with_shared_members_do_not_deadlock():
+    """Guards against a deadlock of two groups with the same members.
 
-    If each took its first engine and waited for the other's, neither caller
-    would get an answer before the time limit.
+    The groups name their members in opposite order. If each reserved its first
+    member and waited for the other one, both would reach the time limit.
     """
-    model = ModelGroups()
-    first = model.begin(('e1', 'e2'))
-    second = model.begin(('e2', 'e1'))
-    model.settle(3)
-    assert model.held() == [first]
+    model = GroupNetwork()
+    first = model.start_group(('e1', 'e2'))
+    second = model.start_group(('e2', 'e1'))
+    model.run_without_faults(3)
+    assert model.reserved_groups() == [first]
     first.release(model.now)
-    model.settle(3)
-    assert model.held() == [second]
+    model.run_without_faults(3)
+    assert model.reserved_groups() == [second]
 
 
-def test_full_member_ends_the_wait():
-    model = ModelGroups()
-    model.begin(('e2', 'e3'))
-    model.settle(1)
-    late = model.begin(('e1', 'e2'))
-    model.settle(PATIENCE_SECONDS + 2)
+def test_full_member_fails_the_group():
+    model = GroupNetwork()
+    model.start_group(('e2', 'e3'))
+    model.run_without_faults(1)
+    late = model.start_group(('e1', 'e2'))
+    model.run_without_faults(RESERVATION_TIMEOUT_SECONDS + 2)
     assert late.failure == ReservationFailure.MEMBER_FULL
-    assert not model.members['e1'].held_tokens(model.now)
+    assert not model.members['e1'].leased_tokens(model.now)
 
 
-def test_leader_dies_half_way():
-    """The leader's process is killed while its group holds memory.
+def test_leases_of_failed_leader_expire():
+    """Guards against leases that outlive a failed leader.
 
-    Short turns would find engines full for ever if the leases stayed.
+    The engines would otherwise stay full for short requests.
     """
-    model = ModelGroups()
-    model.begin(MEMBERS)
-    model.settle(2)
-    model.dead.add('g0')
+    model = GroupNetwork()
+    model.start_group(MEMBERS)
+    model.run_without_faults(2)
+    model.failed_groups.add('g0')
     model.now += LEASE_SECONDS
-    assert free_everywhere(model)
+    assert all_memory_is_free(model)
 
 
-def test_member_restarts_half_way():
-    """A member forgets its lease. The caller must be told, and the others
-    must not hold memory for an answer that cannot come.
+def test_restarted_member_fails_the_group():
+    """Guards against memory that stays reserved after a member restarts.
+
+    The restarted member has lost its lease, so the group must fail and the
+    other members must release their memory.
     """
-    model = ModelGroups()
-    leader = model.begin(MEMBERS)
-    model.settle(2)
+    model = GroupNetwork()
+    leader = model.start_group(MEMBERS)
+    model.run_without_faults(2)
     model.members['e2'].restart(model.now)
-    model.settle(LEASE_SECONDS + 2)
+    model.run_without_faults(LEASE_SECONDS + 2)
     assert leader.failure == ReservationFailure.LEASE_LOST
-    assert free_everywhere(model)
+    assert all_memory_is_free(model)
 
 
 def test_silent_member_fails_the_group():
-    model = ModelGroups()
-    leader = model.begin(('e1', 'e2'))
+    model = GroupNetwork()
+    leader = model.start_group(('e1', 'e2'))
     for _ in range(40):
-        model.step()
+        model.send_due()
         model.packets = [one for one in model.packets if one.endpoint != 'e2']
         while model.packets:
             model.deliver(0)
         model.now += 0.25
     assert leader.failure == ReservationFailure.MEMBER_SILENT
-    assert not model.members['e1'].held_tokens(model.now)
+    assert not model.members['e1'].leased_tokens(model.now)
 
 
-def test_next_wake_is_when_something_is_due():
-    model = ModelGroups()
-    leader = model.begin(MEMBERS)
+def test_next_wake_keeps_leases_renewed():
+    model = GroupNetwork()
+    leader = model.start_group(MEMBERS)
     for _ in range(200):
         wake = leader.next_wake(model.now)
         model.now = max(model.now, wake)
-        model.settle(0.25)
+        model.run_without_faults(0.25)
     assert leader.state == ReservationState.HELD
 
 
-def test_two_spans_at_one_endpoint_are_refused():
+def test_two_spans_at_one_endpoint_are_rejected():
     with pytest.raises(DecisionError):
-        ModelGroups().begin(('e1', 'e1'))
+        GroupNetwork().start_group(('e1', 'e1'))
 
 
 def has_packets(machine):
@@ -135,11 +137,11 @@
 
 
 class GroupMachine(stateful.RuleBasedStateMachine):
-    """Loss, repetition, any order, pauses, and deaths of either side."""
+    """Loss, duplication, reordering, pauses, and failures of either side."""
 
     def __init__(self):
         super().__init__()
-        self.model = ModelGroups()
+        self.model = GroupNetwork()
 
     @stateful.rule(
         names=st.permutations(MEMBERS),
@@ -148,11 +150,11 @@
     )
     def begin(self, names, size, tokens):
         if len(self.model.leaders) < 4:
-            self.model.begin(names[:size], tokens)
+            self.model.start_group(names[:size], tokens)
 
     @stateful.rule()
     def step(self):
-        self.model.step()
+        self.model.send_due()
 
     @stateful.precondition(has_packets)
     @stateful.rule(position=st.integers(0, 50))
@@ -180,41 +182,43 @@
         self.model.members[name].restart(self.model.now)
 
     @stateful.precondition(has_leaders)
-    @stateful.rule(which=st.integers(0, 3), dies=st.booleans())
-    def end_group(self, which, dies):
-        group = list(self.model.leaders)[which % len(self.model.leaders)]
-        if dies:
-            self.model.dead.add(group)
+    @stateful.rule(position=st.integers(0, 3), fails=st.booleans())
+    def end_group(self, position, fails):
+        group = list(self.model.leaders)[position % len(self.model.leaders)]
+        if fails:
+            self.model.failed_groups.add(group)
         else:
             self.model.leaders[group].release(self.model.now)
 
     @stateful.invariant()
-    def no_member_is_over_its_memory(self):
+    def no_member_exceeds_its_memory(self):
         for member in self.model.members.values():
-            assert member.held_tokens(self.model.now) <= CAPACITY
+            assert member.leased_tokens(self.model.now) <= CAPACITY
 
     @stateful.invariant()
-    def what_is_held_is_leased(self):
+    def held_group_has_leases_at_members(self):
         now = self.model.now
-        for group, leader in self.model.living().items():
+        for group, leader in self.model.live_leaders().items():
             if not leader.is_held(now):
                 continue
             for one in leader.members:
                 member = self.model.members[one.endpoint]
-                since = one.held_until - one.lease_seconds
-                assert member.holds(group, now) or member.restarted_at >= since
+                since = one.lease_expires_at - one.lease_seconds
+                assert (
+                    member.has_lease(group, now) or member.restarted_at >= since
+                )
 
     def teardown(self):
         model = self.model
-        model.settle(PATIENCE_SECONDS + 1)
-        states = {one.state for one in model.living().values()}
+        model.run_without_faults(RESERVATION_TIMEOUT_SECONDS + 1)
+        states = {one.state for one in model.live_leaders().values()}
         assert ReservationState.RESERVING not in states
-        for leader in model.living().values():
+        for leader in model.live_leaders().values():
             leader.release(model.now)
-        model.settle(LEASE_SECONDS + 1)
-        assert free_everywhere(model)
-        last = model.begin(MEMBERS)
-        model.settle(3)
+        model.run_without_faults(LEASE_SECONDS + 1)
+        assert all_memory_is_free(model)
+        last = model.start_group(MEMBERS)
+        model.run_without_faults(3)
         assert last.state == ReservationState.HELD
 
 
@@ -227,26 +231,25 @@
 )
 
 
-def test_unnumbered_answers_count_from_the_first_request():
-    model = ModelGroups()
-    leader = model.begin(('e1', 'e2'))
+def test_answer_without_number_counts_from_first_request():
+    model = GroupNetwork()
+    leader = model.start_group(('e1', 'e2'))
     first = leader.due(0)[0]
     assert isinstance(first.message, GroupReserve)
-    answer = model.members['e1'].take(first.message, 0)
+    answer = model.members['e1'].handle(first.message, 0)
     leader.take_answer('e1', type(answer)(group='g0', span=0, granted=True), 2)
-    assert leader.members[0].held_until == LEASE_SECONDS
+    assert leader.members[0].lease_expires_at == LEASE_SECONDS
 
 
-def test_repeated_answer_does_not_stretch_a_lease():
-    """A member dies, and the network repeats its first answer much later.
+def test_duplicate_answer_does_not_extend_lease():
+    """Guards against a lease that a late duplicate answer extends.
 
-    Counted from then on, the leader would run spans on memory that the
-    member has long given to others.
+    The leader would run spans on memory that a failed member has released.
     """
-    model = ModelGroups()
-    leader = model.begin(('e1', 'e2'))
-    answer = model.members['e1'].take(leader.due(0)[0].message, 0)
+    model = GroupNetwork()
+    leader = model.start_group(('e1', 'e2'))
+    answer = model.members['e1'].handle(leader.due(0)[0].message, 0)
     leader.take_answer('e1', answer, 0.1)
     assert leader.due(3)
     leader.take_answer('e1', answer, 3.1)
-    assert leader.members[0].held_until == LEASE_SECONDS
+    assert leader.members[0].lease_expires_at == LEASE_SECONDS
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_health.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_health.py
@@ -1,13 +1,16 @@
-"""Ejection, probing and return, and what callers receive meanwhile."""
+"""Tests of ejection, probing and return of endpoints.
+
+The model tests compare the answers of callers with and without health checks.
+"""
 
 import pytest
 from hypothesis import settings, stateful
 from hypothesis import strategies as st
 
 from sycamore_core.decisions.health import (
-    CROWDED_WEIGHT,
-    FIRST_EJECTION,
-    RETURN_SECONDS,
+    CAPPED_WEIGHT,
+    FIRST_EJECTION_SECONDS,
+    RETURN_RAMP_SECONDS,
     EndpointHealth,
 )
 from sycamore_core.decisions.health_record import (
@@ -39,14 +42,14 @@
     observe(health, name, ObservationKind.FAILED, now, count=3)
 
 
-def test_failures_in_a_row_eject():
+def test_consecutive_failures_eject():
     health = build_health()
     eject(health, 'a', 1)
     assert health.weights(NAMES, 1)['a'] == 0
     assert health.reason('a') == EjectionReason.FAILURES
 
 
-def test_a_slow_fleet_ejects_nobody():
+def test_slow_fleet_causes_no_ejection():
     health = build_health()
     for now in range(20):
         for name in NAMES:
@@ -61,13 +64,13 @@
     assert all(health.state(one) == HealthState.HEALTHY for one in NAMES)
 
 
-def test_abandoned_requests_are_no_failures():
+def test_abandoned_requests_are_not_failures():
     health = build_health()
     observe(health, 'a', ObservationKind.ABANDONED, 1, count=50)
     assert health.weights(NAMES, 1)['a'] == 1
 
 
-def test_silence_is_judged_by_what_was_expected():
+def test_silence_is_relative_to_expected_time():
     health = build_health()
     accepted = ObservationKind.ACCEPTED
     observe(health, 'a', accepted, 0, expected_seconds=20)
@@ -77,10 +80,10 @@
     assert health.reason('b') == EjectionReason.SILENCE
 
 
-def test_probing_return_and_health():
+def test_ejected_endpoint_is_probed_and_returns():
     health = build_health()
     eject(health, 'a', 0)
-    now = FIRST_EJECTION + 1
+    now = FIRST_EJECTION_SECONDS + 1
     for _ in range(3):
         assert health.weights(NAMES, now)['a'] > 0
         observe(health, 'a', ObservationKind.ACCEPTED, now)
@@ -89,51 +92,51 @@
     ramp = [health.weights(NAMES, now + step)['a'] for step in range(12)]
     assert ramp == sorted(ramp)
     assert ramp[0] == pytest.approx(0.1)
-    assert health.weights(NAMES, now + RETURN_SECONDS)['a'] == 1
+    assert health.weights(NAMES, now + RETURN_RAMP_SECONDS)['a'] == 1
 
 
 @pytest.mark.parametrize(
-    'bad',
+    'faulty',
     [
         Observation(kind=ObservationKind.FAILED),
         Observation(kind=ObservationKind.ANSWERED, latency_ratio=10),
     ],
 )
-def test_a_bad_probe_doubles_the_ejection(bad):
+def test_failed_probe_doubles_ejection_time(faulty):
     health = build_health()
     eject(health, 'a', 0)
-    now = FIRST_EJECTION + 1
+    now = FIRST_EJECTION_SECONDS + 1
     health.weights(NAMES, now)
-    health.observe('a', bad, now)
-    assert health.weights(NAMES, now + FIRST_EJECTION * 1.5)['a'] == 0
-    assert health.weights(NAMES, now + FIRST_EJECTION * 2.5)['a'] > 0
+    health.observe('a', faulty, now)
+    assert health.weights(NAMES, now + FIRST_EJECTION_SECONDS * 1.5)['a'] == 0
+    assert health.weights(NAMES, now + FIRST_EJECTION_SECONDS * 2.5)['a'] > 0
 
 
-def test_the_cap_relieves_without_ejecting():
-    """All endpoints begin to fail, as with a bad version of the model.
+def test_cap_limits_ejections():
+    """Guards against the ejection of a whole fleet that begins to fail.
 
-    If they were ejected one after the other, the last ones would get all
-    the load, and callers would be refused for want of endpoints.
+    With a bad model version, all endpoints fail. If they were ejected one by
+    one, the last ones would receive the whole load, and then none would remain.
     """
     health = build_health()
     for name in NAMES:
         eject(health, name, 1)
     weights = list(health.weights(NAMES, 1).values())
     assert weights.count(0) == 3
-    assert weights.count(CROWDED_WEIGHT) == 7
+    assert weights.count(CAPPED_WEIGHT) == 7
 
 
-def test_one_of_two_may_be_ejected_but_not_both():
+def test_only_one_of_two_endpoints_is_ejected():
     health = EndpointHealth()
     pair = ('a', 'b')
     health.weights(pair, 0)
     for name in pair:
         eject(health, name, 1)
-    assert sorted(health.weights(pair, 1).values()) == [0, CROWDED_WEIGHT]
+    assert sorted(health.weights(pair, 1).values()) == [0, CAPPED_WEIGHT]
 
 
 class HealthMachine(stateful.RuleBasedStateMachine):
-    """Any observations and any fleet: the cap holds, nobody is lost."""
+    """Arbitrary observations and fleets: the cap holds, all can recover."""
 
     def __init__(self):
         super().__init__()
@@ -148,7 +151,7 @@
         ratio=st.floats(0, 100),
         count=st.integers(1, 6),
     )
-    def see(self, name, kind, ratio, count):
+    def observe_endpoint(self, name, kind, ratio, count):
         if name in self.names:
             observe(
                 self.health,
@@ -168,31 +171,31 @@
         self.names = names
 
     @stateful.invariant()
-    def most_endpoints_get_work(self):
+    def cap_on_ejections_holds(self):
         self.weights = self.health.weights(self.names, self.now)
         assert set(self.weights) == self.names
-        relieved = [
+        out_of_service = [
             name
             for name in self.names
             if self.health.state(name)
             in {HealthState.EJECTED, HealthState.PROBING}
         ]
-        assert len(relieved) == self.health.relieved
-        assert len(relieved) <= max(1, 0.3 * len(self.names))
-        assert len(relieved) < len(self.names)
+        assert len(out_of_service) == self.health.out_of_service
+        assert len(out_of_service) <= max(1, 0.3 * len(self.names))
+        assert len(out_of_service) < len(self.names)
         assert all(0 <= weight <= 1 for weight in self.weights.values())
         idle = [name for name in self.names if not self.weights[name]]
-        assert set(idle) <= set(relieved)
+        assert set(idle) <= set(out_of_service)
 
     def teardown(self):
-        """Whatever has happened, good answers bring everybody back."""
+        """Check that good answers return all endpoints to service."""
         for _ in range(200):
             self.now += 2
             weights = self.health.weights(self.names, self.now)
             for name, weight in weights.items():
                 if weight:
-                    good = ObservationKind.ANSWERED
-                    observe(self.health, name, good, self.now)
+                    answered = ObservationKind.ANSWERED
+                    observe(self.health, name, answered, self.now)
         weights = self.health.weights(self.names, self.now)
         assert set(weights.values()) == {1}
 
@@ -206,22 +209,22 @@
 )
 
 
-def run_model(faults, seed, load=0.6, *, judged=True):
-    model = HealthModel(SIZE, faults, BEGINS, ENDS, judged=judged)
+def run_model(faults, seed, load=0.6, *, uses_health=True):
+    model = HealthModel(SIZE, faults, BEGINS, ENDS, uses_health=uses_health)
     model.run(load, LAST, seed)
     return model
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
 @pytest.mark.parametrize('fault', list(Fault))
-def test_a_bad_endpoint_is_relieved_and_taken_back(fault, seed):
-    """One endpoint of ten turns bad for forty seconds.
+def test_faulty_endpoint_is_ejected_and_returns(fault, seed):
+    """Guards against a faulty endpoint that keeps its share of the requests.
 
-    It is ten times slower, fails each request at once, or takes requests and
-    never answers; callers that land there wait long or get nothing.
+    For forty seconds, one endpoint of ten is ten times slower, fails each
+    request at once, or never answers.
     """
     model = run_model({0: fault}, seed)
-    naive = run_model({0: fault}, seed, judged=False)
+    naive = run_model({0: fault}, seed, uses_health=False)
     missed = 1 - model.answered(BEGINS, ENDS, within=1)
     naive_missed = 1 - naive.answered(BEGINS, ENDS, within=1)
     assert missed < naive_missed / 2
@@ -229,20 +232,20 @@
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_half_of_the_fleet_is_bad(seed):
-    """Five endpoints of ten fail at once; three may be ejected.
+def test_half_of_the_fleet_fails(seed):
+    """Guards against results worse than without health checks.
 
-    The five good ones have to take what the others leave, and no more.
+    Five endpoints of ten fail each request at once, and three may be ejected.
     """
-    bad = dict.fromkeys(range(5), Fault.FAILS_FAST)
-    model = run_model(bad, seed, load=0.4)
-    naive = run_model(bad, seed, load=0.4, judged=False)
+    faulty = dict.fromkeys(range(5), Fault.FAILS_FAST)
+    model = run_model(faulty, seed, load=0.4)
+    naive = run_model(faulty, seed, load=0.4, uses_health=False)
     answered = model.answered(BEGINS, ENDS, within=1)
     assert answered > naive.answered(BEGINS, ENDS, within=1)
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
-def test_a_healthy_fleet_loses_nothing(seed):
+def test_healthy_fleet_is_not_affected(seed):
     model = run_model({}, seed, load=0.8)
-    naive = run_model({}, seed, load=0.8, judged=False)
+    naive = run_model({}, seed, load=0.8, uses_health=False)
     assert model.answered(0, LAST, 1) >= naive.answered(0, LAST, 1) - 0.002
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_long_prompts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_long_prompts.py
@@ -1,4 +1,4 @@
-"""Groups for prompts beyond one engine, and what long work may hold."""
+"""Tests of groups for long prompts and of the limits of long work."""
 
 import pytest
 from hypothesis import given, settings
@@ -13,7 +13,7 @@
 from sycamore_core.decisions.long_prompts import (
     GroupReason,
     plan_group,
-    short_room_share,
+    short_capacity_share,
 )
 from sycamore_core.decisions.pool import Candidate, CandidatePool
 from sycamore_core.states import PromptBand
@@ -30,7 +30,7 @@
     return plan_group(build_long(tokens), pool, limits)
 
 
-def test_a_million_tokens_take_the_fewest_engines_of_one_zone():
+def test_long_prompt_uses_fewest_engines_of_one_zone():
     pool = build_pool(20)
     planned = plan(1_000_000, pool)
     zones = {pool.find(span.endpoint).view.zone for span in planned.spans}
@@ -39,7 +39,7 @@
     assert len(zones) == 1
 
 
-def test_engines_that_hold_long_work_come_first():
+def test_engines_with_long_work_are_preferred():
     pool = build_pool(20)
     for name in ('006', '010'):
         pool.find(name).view.long_tokens = 100_000
@@ -48,7 +48,7 @@
     assert {'006', '010'} <= chosen
 
 
-def test_groups_stop_at_the_share_of_long_work():
+def test_groups_respect_the_share_of_long_work():
     pool = build_pool(8)
     for name in ('000', '002', '004', '006'):
         pool.find(name).view.long_tokens = 300_000
@@ -56,26 +56,26 @@
     assert plan(800_000, pool).reason == GroupReason.LONG_WORK_FULL
 
 
-def test_full_engines_and_too_small_fleets_differ():
+def test_full_engines_and_too_small_fleet_give_different_reasons():
     full = build_pool(8, free_tokens=110_000)
     assert plan(1_000_000, full).reason == GroupReason.MEMORY_FULL
     small = build_pool(2)
     assert plan(1_000_000, small).reason == GroupReason.PROMPT_TOO_LONG
 
 
-def test_a_small_site_leaves_less_room_for_its_longest_prompt():
-    """Three engines hold a prompt only if short turns get less room.
+def test_small_site_reserves_less_memory_for_short_requests():
+    """Guards against a refusal of a prompt that the fleet can store.
 
-    Its caller would otherwise be told that it is too long for a fleet that
-    could hold it.
+    Three engines can store the prompt only if less memory is kept for short
+    requests.
     """
     pool = build_pool(3)
-    assert short_room_share(build_long(800_000), pool) == SHORT_ROOM_SHARE
-    assert short_room_share(build_long(1_000_000), pool) == LEAST_ROOM_SHARE
+    assert short_capacity_share(build_long(800_000), pool) == SHORT_ROOM_SHARE
+    assert short_capacity_share(build_long(1_000_000), pool) == LEAST_ROOM_SHARE
     assert plan(1_000_000, pool).reason == GroupReason.FORMED
 
 
-def test_a_small_site_serves_one_long_prompt_at_a_time():
+def test_small_site_serves_one_long_prompt_at_a_time():
     pool = build_pool(4)
     assert plan(1_000_000, pool).reason == GroupReason.FORMED
     pool[0].view.long_tokens = 300_000
@@ -93,18 +93,18 @@
     free=st.lists(st.integers(0, 400_000), min_size=1, max_size=12),
     tokens=st.integers(1, 2_000_000),
     share=st.floats(0, 1),
-    held=st.sets(st.integers(0, 11)),
+    with_long_work=st.sets(st.integers(0, 11)),
 )
-def test_spans_cover_the_prompt_and_fit(free, tokens, share, held):
+def test_spans_cover_the_prompt_and_fit(free, tokens, share, with_long_work):
     pool = CandidatePool(
         Candidate(
             view=build_view(
                 number,
-                free_tokens=room,
-                long_tokens=50_000 if number in held else 0,
+                free_tokens=free_tokens,
+                long_tokens=50_000 if number in with_long_work else 0,
             ),
         )
-        for number, room in enumerate(free)
+        for number, free_tokens in enumerate(free)
     )
     planned = plan(tokens, pool, share)
     if planned.reason != GroupReason.FORMED:
@@ -119,12 +119,14 @@
     names = [span.endpoint for span in spans]
     assert names == sorted(set(names))
     limits = LongLimits.from_candidates(pool, share)
-    fresh = [name for name in names if not pool.find(name).view.long_tokens]
-    assert len(fresh) <= limits.engines
+    without_long_work = [
+        name for name in names if not pool.find(name).view.long_tokens
+    ]
+    assert len(without_long_work) <= limits.engines
     assert request.lease_tokens <= limits.tokens
-    share = short_room_share(request, pool)
+    share = short_capacity_share(request, pool)
     for span in spans:
         candidate = pool.find(span.endpoint)
         assert 0 < span.tokens <= room_for_long(candidate, share)
-        short_room = candidate.view.capacity_tokens * share
-        assert candidate.view.free_tokens - span.tokens >= short_room
+        reserved_tokens = candidate.view.capacity_tokens * share
+        assert candidate.view.free_tokens - span.tokens >= reserved_tokens
