--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_pace.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_pace.py
@@ -1,92 +1,93 @@
-"""Steps, hysteresis and settling of the weights, and swinging under lag."""
+"""Tests of the rate limit, hysteresis and stability of weights."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sycamore_core.decisions.pace import (
+from sycamore_core.decisions.weight_ramp import (
     HYSTERESIS,
     JOINING_WEIGHT,
-    LONGEST_STEP,
-    RISE_PER_SECOND,
-    PacedWeights,
+    MAX_RISE_PER_SECOND,
+    MAX_STEP_SECONDS,
+    WeightRamp,
 )
 
-from .builders_pace import AtOnce, run_swing, swing
+from .builders_pace import UnlimitedWeights, load_swing, run_feedback
 
-#: Swings in parts of an even share.
-WIDE = 0.2
-NARROW = 0.01
+#: Limits of load swings, relative to an even share.
+LARGE_SWING = 0.2
+SMALL_SWING = 0.01
 
 
-def settle(paced, target, start):
-    """Return the seconds until the weight of `a` is at its target."""
+def settling_seconds(ramp, target, start):
+    """Return the seconds until the weight of `a` reaches its target."""
     for now in range(start, start + 60):
-        if paced.update({'a': target}, now)['a'] == pytest.approx(target):
+        if ramp.update({'a': target}, now)['a'] == pytest.approx(target):
             return now - start
     return None
 
 
 @pytest.mark.parametrize('lag', [1, 2, 3, 5])
-def test_no_swinging_under_lag(lag):
-    """Entries set weights by reports that are some seconds old.
+def test_load_is_stable_with_outdated_reports(lag):
+    """Guards against load that oscillates because reports are outdated.
 
-    Taken at once, the weights swing for ever, and callers find now one and
-    now another endpoint crowded.
+    Without the rate limit, the weights oscillate permanently and overload one
+    endpoint after another.
     """
-    assert swing(run_swing(AtOnce, lag)) > WIDE
-    assert swing(run_swing(PacedWeights, lag)) < NARROW
+    assert load_swing(run_feedback(UnlimitedWeights, lag)) > LARGE_SWING
+    assert load_swing(run_feedback(WeightRamp, lag)) < SMALL_SWING
 
 
 @pytest.mark.parametrize('lag', [1, 2, 3, 5])
-def test_strong_answers_swing_less(lag):
-    """With a gain of six the paced weights still swing, but less."""
-    naive = swing(run_swing(AtOnce, lag, gain=6))
-    assert swing(run_swing(PacedWeights, lag, gain=6)) < naive
+def test_load_swings_less_with_strong_feedback(lag):
+    """With a gain of 6 the load still oscillates, but less than without."""
+    naive = load_swing(run_feedback(UnlimitedWeights, lag, gain=6))
+    assert load_swing(run_feedback(WeightRamp, lag, gain=6)) < naive
 
 
 def test_settling_time():
-    paced = PacedWeights()
-    paced.update({'a': 1}, 0)
-    assert settle(paced, 0.05, start=1) <= 4
-    assert settle(paced, 1, start=10) <= 10
+    ramp = WeightRamp()
+    ramp.update({'a': 1}, 0)
+    assert settling_seconds(ramp, 0.05, start=1) <= 4
+    assert settling_seconds(ramp, 1, start=10) <= 10
 
 
-def test_nothing_goes_to_an_ejected_endpoint():
-    paced = PacedWeights()
-    paced.update({'a': 1}, 0)
-    assert paced.update({'a': 0}, 0.1)['a'] == 0
+def test_target_of_zero_applies_immediately():
+    ramp = WeightRamp()
+    ramp.update({'a': 1}, 0)
+    assert ramp.update({'a': 0}, 0.1)['a'] == 0
 
 
-def test_small_changes_are_left():
-    paced = PacedWeights()
-    paced.update({'a': 0.5}, 0)
+def test_small_changes_are_skipped():
+    ramp = WeightRamp()
+    ramp.update({'a': 0.5}, 0)
     near = 0.5 + HYSTERESIS / 2
-    assert paced.update({'a': near}, 5)['a'] == pytest.approx(0.5)
+    assert ramp.update({'a': near}, 5)['a'] == pytest.approx(0.5)
 
 
-def test_a_starting_entry_takes_its_targets():
-    """An entry restarts. If it began at low weights everywhere, its callers
-    would be refused while endpoints are idle.
+def test_starting_entry_applies_targets_immediately():
+    """Guards against low weights of all endpoints after an entry restarts.
+
+    The entry would refuse requests while endpoints are idle.
     """
-    assert PacedWeights().update({'a': 1, 'b': 0.4}, 7) == {'a': 1, 'b': 0.4}
+    assert WeightRamp().update({'a': 1, 'b': 0.4}, 7) == {'a': 1, 'b': 0.4}
 
 
-def test_a_joining_endpoint_begins_low():
-    """An endpoint is replaced. Its empty queue would draw all new work."""
-    paced = PacedWeights()
-    paced.update({'a': 1}, 0)
-    joined = paced.update({'a': 1, 'b': 1}, 1)
+def test_joining_endpoint_starts_with_low_weight():
+    """Guards against a new endpoint whose empty queue attracts all work."""
+    ramp = WeightRamp()
+    ramp.update({'a': 1}, 0)
+    joined = ramp.update({'a': 1, 'b': 1}, 1)
     assert joined == {'a': 1, 'b': JOINING_WEIGHT}
-    assert settle(paced, 1, start=2) is not None
+    assert settling_seconds(ramp, 1, start=2) is not None
 
 
-def test_a_paused_entry_makes_no_jump():
-    """An entry is paused for a minute and wakes up with an old picture."""
-    paced = PacedWeights()
-    paced.update({'a': 0}, 0)
-    woken = paced.update({'a': 1}, 60)['a']
-    assert woken <= RISE_PER_SECOND * LONGEST_STEP
+def test_suspended_entry_makes_no_large_change():
+    """Guards against a large change after an entry was suspended."""
+    ramp = WeightRamp()
+    ramp.update({'a': 0}, 0)
+    resumed = ramp.update({'a': 1}, 60)['a']
+    assert resumed <= MAX_RISE_PER_SECOND * MAX_STEP_SECONDS
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
@@ -97,15 +98,15 @@
         max_size=30,
     ),
 )
-def test_weights_stay_between_old_and_target(steps):
-    paced = PacedWeights()
+def test_weight_stays_between_old_weight_and_target(steps):
+    ramp = WeightRamp()
     now = 0
     before = steps[0][0]
-    paced.update({'a': before}, now)
+    ramp.update({'a': before}, now)
     for target, wait in steps[1:]:
         now += wait
-        weight = paced.update({'a': target}, now)['a']
+        weight = ramp.update({'a': target}, now)['a']
         assert min(before, target) <= weight <= max(before, target)
-        rise = RISE_PER_SECOND * min(wait, LONGEST_STEP)
+        rise = MAX_RISE_PER_SECOND * min(wait, MAX_STEP_SECONDS)
         assert weight <= before + rise + 1e-9
         before = weight
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_placement.py
@@ -1,7 +1,7 @@
-"""Placement: memory, zones and weights, and what callers receive.
+"""Tests of placement by caches, memory, zones and weights.
 
 The differential tests run the same arrivals through `PrefixPlacement` and a
-naive one, over several seeds, in the queueing model of `builders_placement`.
+naive placement, with several seeds, in the model of `builders_placement`.
 """
 
 import random
@@ -19,7 +19,7 @@
 from .builders_placement import (
     InFlightSpill,
     LeastLoadedPlacement,
-    Model,
+    PlacementModel,
     build_conversations,
     build_engines,
     build_pool,
@@ -40,7 +40,7 @@
 
 def run(make, arrivals, seed, entries=4, lag=0.5, engines=20):
     placements = [make() for _ in range(entries)]
-    model = Model(build_engines(engines), placements, lag=lag)
+    model = PlacementModel(build_engines(engines), placements, lag=lag)
     waits = model.run(arrivals, random.Random(seed).random)
     return waits, model.computed_tokens()
 
@@ -49,7 +49,7 @@
     return placement.place(request, pool, now, random.Random(seed).random)
 
 
-def test_next_turn_goes_where_the_cache_is():
+def test_next_request_goes_to_cached_prefix():
     placement, pool = build_placement(), build_pool(50)
     first = place(placement, build_prompt('1', range(20)), pool)
     second = place(placement, build_prompt('2', range(24)), pool, seed=7)
@@ -68,7 +68,7 @@
     assert len(chosen) == 1
 
 
-def test_busy_holder_is_left():
+def test_busy_holder_is_avoided():
     placement, pool = build_placement(), build_pool(50)
     prompt = build_prompt('1', range(20))
     holder = place(placement, prompt, pool).endpoint
@@ -78,7 +78,7 @@
     assert moved.reason == PlacementReason.SPILL
 
 
-def test_old_records_are_not_believed():
+def test_expired_records_are_ignored():
     placement, pool = build_placement(), build_pool(50)
     prompt = build_prompt('1', range(20))
     place(placement, prompt, pool)
@@ -105,21 +105,21 @@
         ({'phase': EndpointPhase.STARTING}, PlacementReason.NO_ENDPOINT),
     ],
 )
-def test_nothing_fits(changes, reason):
-    decided = place(
+def test_request_waits_if_no_endpoint_fits(changes, reason):
+    decision = place(
         build_placement(), build_request(), build_pool(9, **changes)
     )
-    assert decided.endpoint is None
-    assert decided.reason == reason
-    assert decided.retry_after > 0
+    assert decision.endpoint is None
+    assert decision.reason == reason
+    assert decision.retry_after > 0
 
 
 def test_empty_pool():
-    decided = place(build_placement(), build_request(), CandidatePool())
-    assert decided.reason == PlacementReason.NO_ENDPOINT
+    decision = place(build_placement(), build_request(), CandidatePool())
+    assert decision.reason == PlacementReason.NO_ENDPOINT
 
 
-def test_own_sends_count_against_memory():
+def test_own_requests_count_against_memory():
     pool = build_pool(1, free_tokens=2000)
     request = build_request()
     placement = build_placement()
@@ -128,7 +128,7 @@
     assert place(placement, request, pool).endpoint is None
 
 
-def test_own_zone_is_preferred_between_equals():
+def test_own_zone_is_preferred_at_equal_load():
     pool = build_pool(10)
     zones = [
         pool.find(
@@ -136,11 +136,12 @@
         ).view.zone
         for seed in range(100)
     ]
-    # Two of five and five are drawn: both lie in the other zone in 2 of 9.
+    # Two of ten endpoints are drawn, five in each zone. Both are in the other
+    # zone in 2 of 9 cases.
     assert zones.count('z1') > 65
 
 
-def test_weight_is_the_share_of_an_endpoint():
+def test_low_weight_reduces_share_of_requests():
     pool = build_pool(10)
     pool[0].weight = 0.2
     source = random.Random(5)
@@ -152,11 +153,11 @@
     assert 10 < chosen.count('000') < 120
 
 
-def test_long_prompts_leave_room_and_engines():
-    """Long prompts come one after the other until no more are taken.
+def test_long_prompts_leave_memory_and_engines():
+    """Guards against long prompts that block all short requests.
 
-    A caller with a short turn must still find an engine without long work,
-    and room on every engine that has some.
+    Long prompts arrive until none is accepted. Then half of the engines must
+    be free of long work, and the others must have memory for short requests.
     """
     placement, pool = build_placement(), build_pool(8)
     placed = 0
@@ -179,12 +180,12 @@
     assert decision.reason == PlacementReason.LONG_WORK_FULL
 
 
-def test_prompt_beyond_one_engine_gets_a_group():
+def test_prompt_too_long_for_one_engine_gets_a_group():
     request = build_request(band=PromptBand.HUGE, prompt_tokens=1_000_000)
-    decided = place(build_placement(), request, build_pool(12))
-    assert decided.reason == PlacementReason.GROUP
-    assert len(decided.members) >= 3
-    assert decided.endpoint > max(decided.members)
+    decision = place(build_placement(), request, build_pool(12))
+    assert decision.reason == PlacementReason.GROUP
+    assert len(decision.members) >= 3
+    assert decision.endpoint > max(decision.members)
 
 
 @pytest.mark.parametrize('seed', SEEDS)
@@ -200,8 +201,10 @@
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_conversations_against_spill_by_requests_in_flight(seed):
-    """Entries do not see each other's sends, so a count of requests in flight
-    is low everywhere and a prompt is computed once for each entry.
+    """Guards against spills that compute a prompt once per entry.
+
+    Entries do not see each other's requests, so each entry counts few requests
+    in flight at every endpoint.
     """
     arrivals = build_conversations(seed, load=0.4, engines=20)
     waits, computed = run(build_placement, arrivals, seed)
@@ -216,11 +219,11 @@
 
 @pytest.mark.parametrize('seed', SEEDS)
 @pytest.mark.parametrize('entries', [1, 4])
-def test_hot_key_against_round_robin(seed, entries):
-    """Nine callers in ten share one long instruction.
+def test_hot_prefix_against_round_robin(seed, entries):
+    """Guards against a hot prefix that stays on a single endpoint.
 
-    If it stays on the endpoint that saw it first, its callers wait in one
-    queue; it has to spread until none waits longer than for computing it.
+    Nine prompts in ten share one long prefix, which must spread to other
+    endpoints once waiting takes longer than computing it.
     """
     arrivals = build_shared_prompts(seed, 0.8, 20, hot_share=0.9)
     waits, _ = run(build_placement, arrivals, seed, entries)
@@ -231,10 +234,10 @@
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_herding_after_a_report(seed):
-    """Eight entries take the same report at the same moment.
+    """Guards against herding of entries that receive the same report.
 
-    If each sends to the endpoint that it shows as least loaded, all of a
-    second's requests meet there and their callers wait behind each other.
+    If eight entries choose the same least loaded endpoint, all requests until
+    the next report queue there.
     """
     arrivals = build_unequal_prompts(seed, load=0.7, engines=20)
     waits, _ = run(build_placement, arrivals, seed, entries=8, lag=1)
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""The retry budget, and what callers receive when endpoints die at once."""
+"""Tests of the retry budget, alone and in a model of failing endpoints."""
 
 import math
 import random
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 
 from sycamore_core.decisions.retries import (
-    BALANCE_SECONDS,
-    LONGEST_BACKOFF,
+    BALANCE_DECAY_SECONDS,
+    IDLE_RETRIES,
     MAX_ATTEMPTS,
-    QUIET_RETRIES,
-    RETRY_SHARE,
+    MAX_BACKOFF_SECONDS,
+    RETRY_CREDIT,
     RetryBudget,
     RetryVerdict,
 )
@@ -20,9 +20,9 @@
 
 from .builders_placement import build_request
 from .builders_retries import (
-    AtOnce,
-    Budgeted,
-    Never,
+    BudgetedRetries,
+    ImmediateRetries,
+    NoRetries,
     Outage,
     RetryModel,
     build_failure,
@@ -41,72 +41,74 @@
 
 
 @pytest.mark.parametrize('execution', [Execution.UNKNOWN, Execution.RAN])
-def test_non_idempotent_in_doubt_is_never_tried_again(execution):
-    """An endpoint dies after it took a deposit, before it answered.
+def test_non_idempotent_request_in_doubt_is_not_retried(execution):
+    """Guards against a deposit that is charged twice.
 
-    Tried again elsewhere, the deposit would be charged twice.
+    The endpoint fails after it has accepted the request and before it answers.
     """
     request = build_request(idempotent=False)
-    decided = decide(request=request, execution=execution)
-    assert decided.verdict == RetryVerdict.IN_DOUBT
-    assert decided.refusal == RefusalReason.OUTCOME_UNKNOWN
+    decision = decide(request=request, execution=execution)
+    assert decision.verdict == RetryVerdict.IN_DOUBT
+    assert decision.refusal == RefusalReason.OUTCOME_UNKNOWN
 
 
-def test_non_idempotent_that_did_not_run_is_tried_again():
+def test_non_idempotent_request_not_run_is_retried():
     request = build_request(idempotent=False)
     assert decide(request=request).verdict == RetryVerdict.RETRY
 
 
 @pytest.mark.parametrize('draw', [0, 0.5, 1])
-def test_the_wait_of_the_endpoint_is_kept(draw):
-    decided = decide(retry_after=3, draw=draw, now=10)
-    assert decided.not_before >= 13
+def test_retry_after_of_endpoint_is_respected(draw):
+    decision = decide(retry_after=3, draw=draw, now=10)
+    assert decision.not_before >= 13
 
 
 @pytest.mark.parametrize('needed', [0, 5])
-def test_never_past_the_deadline(needed):
+def test_no_retry_past_the_deadline(needed):
     request = build_request(deadline=20)
-    decided = decide(
+    decision = decide(
         request=request,
         retry_after=19.9 - needed,
         needed_seconds=needed,
         draw=1,
     )
-    assert decided.verdict == RetryVerdict.DEADLINE
-    assert decided.retry_after >= 14
+    assert decision.verdict == RetryVerdict.DEADLINE
+    assert decision.retry_after >= 14
 
 
-def test_waits_grow_to_a_bound_and_differ():
+def test_backoff_grows_to_its_limit_with_jitter():
     waits = [
         decide(reason=RetryReason.DECLINED, attempt=number, draw=1).not_before
         for number in range(1, 40)
     ]
     assert waits == sorted(waits)
-    assert waits[-1] == LONGEST_BACKOFF
+    assert waits[-1] == MAX_BACKOFF_SECONDS
     assert decide(draw=0.1).not_before < decide(draw=0.9).not_before
 
 
-def test_attempts_end():
+def test_number_of_attempts_is_limited():
     assert decide(attempt=MAX_ATTEMPTS).refusal == RefusalReason.BACKEND_FAILED
 
 
-def test_declined_offers_cost_nothing():
+def test_declined_offers_use_no_budget():
     budget = RetryBudget()
     for _ in range(100):
-        decided = decide(budget, reason=RetryReason.DECLINED)
-        assert decided.verdict == RetryVerdict.RETRY
-    assert budget.left(0) == QUIET_RETRIES
+        decision = decide(budget, reason=RetryReason.DECLINED)
+        assert decision.verdict == RetryVerdict.RETRY
+    assert budget.available(0) == IDLE_RETRIES
 
 
-def test_a_quiet_site_gets_its_retries_back():
+def test_idle_entry_regains_its_retries():
     budget = RetryBudget()
     verdicts = [decide(budget).verdict for _ in range(4)]
     assert verdicts[-1] == RetryVerdict.BUDGET_SPENT
-    assert decide(budget, now=BALANCE_SECONDS).verdict == RetryVerdict.RETRY
+    assert (
+        decide(budget, now=BALANCE_DECAY_SECONDS).verdict == RetryVerdict.RETRY
+    )
 
 
 class BudgetMachine(stateful.RuleBasedStateMachine):
-    """Retries stay within what first tries and time have paid for."""
+    """Retries stay within the budget that first attempts and time provide."""
 
     def __init__(self):
         super().__init__()
@@ -135,33 +137,33 @@
         execution=st.sampled_from(Execution),
         idempotent=st.booleans(),
         draw=st.floats(0, 1),
-        left=st.floats(-1, 10),
+        time_left=st.floats(-1, 10),
     )
-    def fail(self, count, execution, idempotent, draw, left):
+    def fail(self, count, execution, idempotent, draw, time_left):
         request = build_request(
             idempotent=idempotent,
-            deadline=self.now + left,
+            deadline=self.now + time_left,
         )
         for _ in range(count):
-            decided = decide(
+            decision = decide(
                 self.budget,
                 self.now,
                 draw,
                 request=request,
                 execution=execution,
             )
-            if decided.verdict == RetryVerdict.RETRY:
+            if decision.verdict == RetryVerdict.RETRY:
                 self.retries += 1
-                assert self.now <= decided.not_before < request.deadline
+                assert self.now <= decision.not_before < request.deadline
                 assert idempotent or execution == Execution.NOT_RUN
             else:
-                assert decided.refusal is not None
+                assert decision.refusal is not None
 
     @stateful.invariant()
-    def within_budget(self):
-        quiet = QUIET_RETRIES * (1 + self.now / BALANCE_SECONDS)
-        paid = quiet + RETRY_SHARE * self.first_tries
-        assert self.retries <= math.ceil(paid)
+    def retries_stay_within_budget(self):
+        idle_retries = IDLE_RETRIES * (1 + self.now / BALANCE_DECAY_SECONDS)
+        allowed = idle_retries + RETRY_CREDIT * self.first_tries
+        assert self.retries <= math.ceil(allowed)
 
 
 TestBudget = BudgetMachine.TestCase
@@ -180,18 +182,18 @@
 
 
 def build_budgeted(seed):
-    return Budgeted(random.Random(seed).random)
+    return BudgetedRetries(random.Random(seed).random)
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3, 4])
-def test_a_third_of_the_endpoints_dies(seed):
-    """Ten of thirty endpoints die for twenty seconds at four fifths load.
+def test_failure_of_a_third_of_the_endpoints(seed):
+    """Guards against a retry storm that outlasts its cause.
 
-    What is left can serve five callers in six. If each failed attempt is
-    repeated at once, callers time out behind the repeats of others, and they
-    go on to do so when the endpoints are back.
+    Ten of thirty endpoints fail for twenty seconds at a load of 0.8; the others
+    can serve five callers in six. With immediate retries, requests time out
+    behind the retries of others, also after the endpoints have returned.
     """
-    naive = run_outage(AtOnce(), seed, load=0.8)
+    naive = run_outage(ImmediateRetries(), seed, load=0.8)
     budgeted = run_outage(build_budgeted(seed), seed, load=0.8)
     assert naive.answered_share(70, 120) < NEARLY_NONE
     assert budgeted.answered_share(70, 120) > NEARLY_ALL
@@ -199,12 +201,13 @@
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3, 4])
-def test_what_was_in_progress_is_answered_elsewhere(seed):
-    """Ten of thirty endpoints die while the others have room.
+def test_requests_in_progress_are_answered_elsewhere(seed):
+    """Guards against lost answers when the other endpoints have capacity.
 
-    Without retries, a caller in six loses the answer in progress.
+    Ten of thirty endpoints fail. Without retries, one caller in six loses its
+    answer.
     """
-    never = run_outage(Never(), seed, load=0.5)
+    never = run_outage(NoRetries(), seed, load=0.5)
     budgeted = run_outage(build_budgeted(seed), seed, load=0.5)
     assert budgeted.answered_share(28, 35) > MOST
     assert never.answered_share(28, 35) < MOST
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_subset.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""The endpoints that an entry talks to."""
+"""Tests of the choice of the endpoints that an entry uses."""
 
 import types
 
@@ -26,13 +26,13 @@
     return SubsetChooser(entry, zone, ZONES).choose(fleet)
 
 
-def test_a_small_fleet_is_used_whole():
+def test_small_fleet_is_used_entirely():
     fleet = build_fleet(12)
     assert set(choose('n1', fleet)) == set(fleet)
 
 
-def test_own_zone_region_and_the_rest():
-    zones = [one.zone for one in choose('n1', build_fleet())]
+def test_subset_covers_own_zone_region_and_others():
+    zones = [endpoint.zone for endpoint in choose('n1', build_fleet())]
     assert len(zones) == SUBSET_SIZE
     assert zones.count('z0') == 6
     assert sum(1 for zone in zones if ZONES[zone] == 'r0') >= 9
@@ -40,27 +40,31 @@
 
 
 def test_loss_of_a_zone_leaves_endpoints():
-    """An availability zone is lost. An entry elsewhere, or one whose own zone
-    it was, must still know endpoints that answer.
-    """
-    left = [one for one in choose('n1', build_fleet()) if one.zone != 'z0']
-    assert len(left) >= 6
+    """Guards against an entry without endpoints after the loss of a zone."""
+    remaining = [
+        endpoint
+        for endpoint in choose('n1', build_fleet())
+        if endpoint.zone != 'z0'
+    ]
+    assert len(remaining) >= 6
 
 
-def test_one_endpoint_changes_one_place():
+def test_removed_endpoint_changes_one_place():
     fleet = build_fleet()
     before = choose('n1', fleet)
-    gone = before[3]
-    after = choose('n1', [one for one in fleet if one != gone])
+    removed = before[3]
+    after = choose(
+        'n1', [endpoint for endpoint in fleet if endpoint != removed]
+    )
     assert len(set(before) - set(after)) == 1
 
 
-def test_endpoints_are_used_by_many_entries():
+def test_endpoints_are_used_evenly_by_entries():
     fleet = build_fleet()
-    uses = dict.fromkeys((one.endpoint for one in fleet), 0)
+    uses = dict.fromkeys((endpoint.endpoint for endpoint in fleet), 0)
     for entry in range(352):
-        for one in choose(str(entry), fleet, ZONE_NAMES[entry % 8]):
-            uses[one.endpoint] += 1
+        for endpoint in choose(str(entry), fleet, ZONE_NAMES[entry % 8]):
+            uses[endpoint.endpoint] += 1
     mean = 352 * SUBSET_SIZE / 128
     assert min(uses.values()) > mean / 3
     assert max(uses.values()) < mean * 2
--- a/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
@@ -1,16 +1,16 @@
-"""What this entry has at each endpoint, and whether more should go there.
+"""Work that this entry has sent to each endpoint, and admission of more work.
 
-Load pattern: reports that are a second old while hundreds of requests a second
-are sent, so that a report never shows what was sent since.
+Load pattern: load reports are a second old while hundreds of requests per
+second are sent, so a report does not include the latest requests.
 
-Without it: an entry fills an engine's queue in the second before the report
-says so. Once there, a request can no longer be overtaken by a more urgent one,
-be given up at no cost, or go to another endpoint.
+Without tracking, an entry fills the queue of an engine before the report shows
+it. A request in that queue can no longer be overtaken by a more urgent one,
+cancelled at no cost, or sent to another endpoint.
 
-An endpoint is open for a band while little work of this band or a shorter one
-waits there for its first token. The engine serves shorter bands first, so what
-is longer does not close it for them. A full batch closes it too, because then
-first tokens do not come.
+An endpoint is open for a band while little work of this band or of shorter
+bands waits there for its first token. The engine serves shorter bands first, so
+longer prompts do not close the endpoint for shorter ones. A full batch also
+closes the endpoint, because first tokens are then delayed.
 """
 
 import copy
@@ -25,37 +25,38 @@
 from .requests import RequestView
 from .views import ASSUMED_RATE, EndpointView
 
-#: Prefill that may be queued at an engine before another request is sent, in
+#: Prefill that may be queued at an engine while further requests are sent, in
 #: seconds: a fifth of the tightest target, 0.49 s.
 WINDOW_SECONDS = 0.1
-#: Backlog of other entries, in seconds of prefill, from which a long prompt is
-#: taken to be in it; the windows of ten entries are a second.
-LONG_SECONDS = 1.0
-#: Calls at a plain service at once. At 50 ms a call it is 640 calls a second of
-#: one replica, beyond which a longer queue there only makes calls late.
-PLAIN_CALLS = 32
+#: Backlog of other entries from which it is assumed to contain a long prompt,
+#: in seconds of prefill. The windows of ten entries add up to one second.
+LONG_BACKLOG_SECONDS = 1.0
+#: Maximum number of concurrent calls at a plain service. At 50 ms per call, one
+#: replica serves 640 calls per second; a longer queue only delays the calls.
+MAX_PLAIN_CALLS = 32
 
 
 class TrackedCandidate(Candidate, kw_only=True):
-    """An endpoint with what this entry has there; changed in place.
+    """An endpoint with the work that this entry has sent; modified in place.
 
-    Its `view` is the last report without what this entry has there, except
-    for the memory, and `sent_requests` and `sent_new_tokens` are what this
-    entry has there now, so that their sums are as exact as can be known.
+    Except for the memory, `view` is the last report minus the work of this
+    entry. `sent_requests` and `sent_new_tokens` are the work that this entry
+    has at the endpoint now. Their sums are the best available estimate of the
+    total.
 
     Attributes
     ----------
     pending
-        Prompt tokens sent by this entry whose first token has not come, by
+        Prompt tokens sent by this entry whose first token has not arrived, by
         priority of their band.
     own_tokens, own_long_tokens
-        Memory that requests of this entry lease, in tokens.
+        Memory leased by requests of this entry, in tokens.
     open_bands
-        For how many bands it is open, as `refresh` has worked out.
-    last_requests, last_new_tokens
-        What this entry had there at the report before.
-    batch
-        Requests beyond which they wait for a place in the batch.
+        Number of bands for which the endpoint is open, set by `refresh`.
+    requests_at_report, new_tokens_at_report
+        Work of this entry at the time of the last report.
+    batch_limit
+        Number of requests above which requests wait for a place in the batch.
     """
 
     pending: list[int] = msgspec.field(
@@ -64,136 +65,143 @@
     own_tokens: int = 0
     own_long_tokens: int = 0
     open_bands: int = 0
-    last_requests: int = 0
-    last_new_tokens: int = 0
-    batch: BatchLimit = msgspec.field(default_factory=BatchLimit)
+    requests_at_report: int = 0
+    new_tokens_at_report: int = 0
+    batch_limit: BatchLimit = msgspec.field(default_factory=BatchLimit)
 
     @property
-    def live_part(self) -> float:
-        """Its weight if it takes work, else 0."""
+    def live_weight(self) -> float:
+        """Weight of the endpoint if it accepts work, otherwise 0."""
         return self.weight if self.view.phase == EndpointPhase.LIVE else 0
 
     @property
     def rate(self) -> float:
-        """Prefill rate, in tokens a second."""
+        """Prefill rate, in tokens per second."""
         return self.view.service_rate or ASSUMED_RATE
 
     @property
     def present(self) -> int:
-        """Requests there, of this entry and of the others."""
+        """Number of requests at the endpoint, of this and other entries."""
         return self.sent_requests + self.view.running
 
     @property
     def is_calm(self) -> bool:
-        """Whether no long prompt is being computed there, as far as known."""
+        """Whether the endpoint probably computes no long prompt."""
         if any(self.pending[PRIORITY[PromptBand.LONG] :]):
             return False
-        return self.view.backlog_tokens < self.rate * LONG_SECONDS
+        return self.view.backlog_tokens < self.rate * LONG_BACKLOG_SECONDS
 
     def has_room(self, request: RequestView) -> bool:
-        """Tell whether the request should go there now, if any should."""
+        """Return whether the endpoint is open and has the memory."""
         return self.is_open(request.band) and super().has_room(request)
 
     def is_open(self, band: PromptBand) -> bool:
-        """Tell whether a little more work of a band may be queued there."""
+        """Return whether more work of a band may be queued at the endpoint."""
         return PRIORITY[band] < self.open_bands
 
     def refresh(self) -> None:
-        """Work out anew for how many bands it is open, shortest first."""
+        """Recompute for how many bands it is open, shortest bands first."""
         self.open_bands = 0
-        if not self.live_part:
+        if not self.live_weight:
             return
         if self.view.kind == EndpointKind.PLAIN:
-            if self.present < PLAIN_CALLS:
+            if self.present < MAX_PLAIN_CALLS:
                 self.open_bands = len(PRIORITY)
             return
-        if self.present >= self.batch.requests:
+        if self.present >= self.batch_limit.requests:
             return
-        room = self.rate * WINDOW_SECONDS
+        window_tokens = self.rate * WINDOW_SECONDS
         for tokens in self.pending:
-            room -= tokens
-            if room <= 0:
+            window_tokens -= tokens
+            if window_tokens <= 0:
                 return
             self.open_bands += 1
 
     def tokens_ahead(self, band: PromptBand) -> int:
-        """Return the prompt tokens that the engine computes before a band."""
+        """Return the prompt tokens pending for a band and shorter bands."""
         return sum(self.pending[: PRIORITY[band] + 1])
 
-    def take_report(self, report: EndpointView) -> None:
-        """Take a report, less what this entry is known to have there.
+    def apply_report(self, report: EndpointView) -> None:
+        """Apply a report, minus the work of this entry.
 
-        The report is older than what this entry has sent since, and what it
-        had at the time of the report is not known exactly: the larger of now
-        and a report ago is taken off, so that nothing is counted twice.
+        The report does not include the work sent since it was made, and the
+        work of this entry at that time is not known exactly. The larger of the
+        current value and the value at the previous report is subtracted, so
+        that no work is counted twice.
         """
         view = copy.copy(report)
         view.service_rate = report.telling_rate or self.view.service_rate
-        had_requests = max(self.sent_requests, self.last_requests)
+        had_requests = max(self.sent_requests, self.requests_at_report)
         view.running = max(0, report.running + report.waiting - had_requests)
         view.waiting = 0
-        had_tokens = max(self.sent_new_tokens, self.last_new_tokens)
+        had_tokens = max(self.sent_new_tokens, self.new_tokens_at_report)
         view.backlog_tokens = max(0, report.backlog_tokens - had_tokens)
         if view.capacity_tokens:
-            most = view.capacity_tokens - self.own_tokens
-            view.free_tokens = max(0, min(view.free_tokens, most))
+            max_free_tokens = view.capacity_tokens - self.own_tokens
+            view.free_tokens = max(0, min(view.free_tokens, max_free_tokens))
         view.long_tokens = max(view.long_tokens, self.own_long_tokens)
-        self.last_requests = self.sent_requests
-        self.last_new_tokens = self.sent_new_tokens
+        self.requests_at_report = self.sent_requests
+        self.new_tokens_at_report = self.sent_new_tokens
         self.view = view
 
-    def add(self, request: RequestView, lease: int, new_tokens: int) -> None:
-        """Note that a request was sent there."""
+    def add_request(
+        self, request: RequestView, lease_tokens: int, new_tokens: int
+    ) -> None:
+        """Record that a request was sent to the endpoint."""
         self.sent_requests += 1
-        self._pend(request, new_tokens)
-        self._lease(request, lease)
+        self._add_pending(request, new_tokens)
+        self._add_lease(request, lease_tokens)
 
     def clear_pending(self, request: RequestView, new_tokens: int) -> None:
-        """Note that a prompt sent there needs no more prefill."""
-        self._pend(request, -new_tokens)
+        """Record that a prompt needs no more prefill at the endpoint."""
+        self._add_pending(request, -new_tokens)
 
-    def note_first_token(self, seconds: float, tokens_ahead: int) -> None:
-        """Learn from the time that a first token has taken.
+    def record_first_token(self, seconds: float, tokens_ahead: int) -> None:
+        """Update the batch limit from a time to first token.
 
         Parameters
         ----------
+        seconds
+            Time to first token, in seconds.
         tokens_ahead
-            Prompt tokens that were computed before it, its own included.
+            Prompt tokens that were computed before the first token, including
+            those of the request itself.
         """
         steps = EXPECTED_STEPS * self.view.step_seconds
         if steps:
-            late = seconds - steps - tokens_ahead / self.rate
-            self.batch.note_first_token(late, self.present)
+            delay_seconds = seconds - steps - tokens_ahead / self.rate
+            self.batch_limit.note_first_token(delay_seconds, self.present)
 
-    def drop(self, request: RequestView, lease: int) -> None:
-        """Note that a request is no longer there."""
+    def remove_request(self, request: RequestView, lease_tokens: int) -> None:
+        """Record that a request is no longer at the endpoint."""
         self.sent_requests -= 1
-        self._lease(request, -lease)
+        self._add_lease(request, -lease_tokens)
 
-    def _pend(self, request: RequestView, tokens: int) -> None:
+    def _add_pending(self, request: RequestView, tokens: int) -> None:
         self.pending[PRIORITY[request.band]] += tokens
         self.sent_new_tokens += tokens
 
-    def _lease(self, request: RequestView, lease: int) -> None:
-        self.own_tokens += lease
-        self.view.free_tokens = max(0, self.view.free_tokens - lease)
+    def _add_lease(self, request: RequestView, lease_tokens: int) -> None:
+        self.own_tokens += lease_tokens
+        self.view.free_tokens = max(0, self.view.free_tokens - lease_tokens)
         if request.band == PromptBand.HUGE:
-            self.own_long_tokens += lease
-            self.view.long_tokens = max(0, self.view.long_tokens + lease)
+            self.own_long_tokens += lease_tokens
+            self.view.long_tokens = max(0, self.view.long_tokens + lease_tokens)
 
 
 class TrackedPool(CandidatePool):
-    """The endpoints of one service, and which are open for short work.
+    """The endpoints of one service, with those that are open for short work.
 
     Attributes
     ----------
     calm
-        Those of the open endpoints that compute no long prompt.
+        The open endpoints that compute no long prompt.
     open
-        Endpoints that are open, in no special order; found without a walk
-        over all of them, as almost all are closed when the fleet is full.
+        The open endpoints, in arbitrary order. They are kept separately
+        because almost all endpoints are closed when the fleet is full, and
+        iterating over all of them would be slow.
     version
-        Grows with each change that may open an endpoint.
+        Incremented with each change that may open an endpoint.
     """
 
     def __init__(self) -> None:
@@ -201,39 +209,41 @@
         self.open = CandidatePool()
         self.calm = CandidatePool()
         self.version = 0
-        self._live: float | None = None
+        self._live_weight: float | None = None
 
     def refresh(self, candidate: TrackedCandidate) -> None:
-        """Sort an endpoint in after a change."""
+        """Update the pools after a change of an endpoint."""
         candidate.refresh()
         is_open = candidate.is_open(PromptBand.SHORT)
-        _sort_in(self.open, candidate, wanted=is_open)
-        _sort_in(self.calm, candidate, wanted=is_open and candidate.is_calm)
+        _set_membership(self.open, candidate, is_member=is_open)
+        _set_membership(
+            self.calm, candidate, is_member=is_open and candidate.is_calm
+        )
 
-    def forget(self, endpoint: EndpointId) -> None:
-        """Take an endpoint out."""
+    def remove_everywhere(self, endpoint: EndpointId) -> None:
+        """Remove an endpoint from all pools."""
         for pool in (self, self.open, self.calm):
             pool.remove(endpoint)
-        self.forget_live()
+        self.invalidate_live_weight()
 
     def live(self) -> float:
-        """Return how many endpoints take work, each counted by its weight."""
-        if self._live is None:
-            self._live = sum(one.live_part for one in self)
-        return self._live
+        """Return the sum of the weights of the endpoints that accept work."""
+        if self._live_weight is None:
+            self._live_weight = sum(one.live_weight for one in self)
+        return self._live_weight
 
-    def forget_live(self) -> None:
-        """Count anew what takes work, as an endpoint has changed."""
-        self._live = None
+    def invalidate_live_weight(self) -> None:
+        """Recompute the result of `live` after a change of an endpoint."""
+        self._live_weight = None
 
 
-def _sort_in(
+def _set_membership(
     pool: CandidatePool,
     candidate: TrackedCandidate,
     *,
-    wanted: bool,
+    is_member: bool,
 ) -> None:
-    if wanted:
+    if is_member:
         pool.put(candidate)
     else:
         pool.remove(candidate.view.endpoint)
