--- a/packages/sycamore-core/src/sycamore_core/decisions/group_reservation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/group_reservation.py
@@ -153,14 +153,17 @@
         times = [member.next_send_at for member in self._members_to_send()]
         if self.state == ReservationState.RESERVING:
             times.append(self.timeout_at)
-        times.extend(member.lease_expires_at for member in self._members_held())
+        times.extend(
+            member.lease_expires_at for member in self._members_with_lease()
+        )
         return max(now, min(times, default=self.timeout_at))
 
     def _update_state(self, now: float) -> None:
         if self.state in _FINAL_STATES:
             return
         if any(
-            member.lease_expires_at <= now for member in self._members_held()
+            member.lease_expires_at <= now
+            for member in self._members_with_lease()
         ):
             # A lease whose renewals remain unanswered may have expired at the
             # member, which then refuses a span that runs without a lease.
@@ -199,7 +202,7 @@
 
     def _renewals(self, now: float) -> list[Outgoing]:
         outgoing = []
-        for member in self._members_held():
+        for member in self._members_with_lease():
             if member.next_send_at <= now:
                 number = member.record_request(now, RENEW_INTERVAL_SECONDS)
                 message = GroupRenew(
@@ -236,7 +239,7 @@
                 return member
         return None
 
-    def _members_held(self) -> Iterable[GroupMember]:
+    def _members_with_lease(self) -> Iterable[GroupMember]:
         return [
             member
             for member in self.members
@@ -251,8 +254,12 @@
                 if member.state == GroupMemberState.RELEASING
             ]
         next_member = self._next_to_reserve()
-        held = self._members_held()
-        return held if next_member is None else [*held, next_member]
+        leased_members = self._members_with_lease()
+        return (
+            leased_members
+            if next_member is None
+            else [*leased_members, next_member]
+        )
 
 
 _FINAL_STATES = frozenset((ReservationState.RELEASED, ReservationState.FAILED))
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
@@ -18,32 +18,33 @@
 from .builders_groups import CAPACITY, MEMBERS, GroupNetwork
 
 
-def all_memory_is_free(model):
+def all_memory_is_free(network):
     return all(
-        not member.leased_tokens(model.now) for member in model.members.values()
+        not member.leased_tokens(network.now)
+        for member in network.members.values()
     )
 
 
 def test_members_are_reserved_in_order_of_ids():
-    model = GroupNetwork()
-    leader = model.start_group(('e3', 'e1', 'e2'))
+    network = GroupNetwork()
+    leader = network.start_group(('e3', 'e1', 'e2'))
     requested = []
     while leader.state == ReservationState.RESERVING:
-        model.send_due()
-        requested.extend(packet.endpoint for packet in model.packets)
-        while model.packets:
-            model.deliver(0)
+        network.send_due()
+        requested.extend(packet.endpoint for packet in network.packets)
+        while network.packets:
+            network.deliver(0)
     assert requested == ['e1', 'e2', 'e3']
 
 
 def test_leases_are_renewed_and_released():
-    model = GroupNetwork()
-    leader = model.start_group(MEMBERS)
-    model.run_without_faults(60)
+    network = GroupNetwork()
+    leader = network.start_group(MEMBERS)
+    network.run_without_faults(60)
     assert leader.state == ReservationState.HELD
-    leader.release(model.now)
-    model.run_without_faults(1)
-    assert all_memory_is_free(model)
+    leader.release(network.now)
+    network.run_without_faults(1)
+    assert all_memory_is_free(network)
 
 
 def test_groups_with_shared_members_do_not_deadlock():
@@ -52,24 +53,24 @@
     The groups name their members in opposite order. If each reserved its first
     member and waited for the other one, both would reach the time limit.
     """
-    model = GroupNetwork()
-    first = model.start_group(('e1', 'e2'))
-    second = model.start_group(('e2', 'e1'))
-    model.run_without_faults(3)
-    assert model.reserved_groups() == [first]
-    first.release(model.now)
-    model.run_without_faults(3)
-    assert model.reserved_groups() == [second]
+    network = GroupNetwork()
+    first = network.start_group(('e1', 'e2'))
+    second = network.start_group(('e2', 'e1'))
+    network.run_without_faults(3)
+    assert network.reserved_groups() == [first]
+    first.release(network.now)
+    network.run_without_faults(3)
+    assert network.reserved_groups() == [second]
 
 
 def test_full_member_fails_the_group():
-    model = GroupNetwork()
-    model.start_group(('e2', 'e3'))
-    model.run_without_faults(1)
-    late = model.start_group(('e1', 'e2'))
-    model.run_without_faults(RESERVATION_TIMEOUT_SECONDS + 2)
+    network = GroupNetwork()
+    network.start_group(('e2', 'e3'))
+    network.run_without_faults(1)
+    late = network.start_group(('e1', 'e2'))
+    network.run_without_faults(RESERVATION_TIMEOUT_SECONDS + 2)
     assert late.failure == ReservationFailure.MEMBER_FULL
-    assert not model.members['e1'].leased_tokens(model.now)
+    assert not network.members['e1'].leased_tokens(network.now)
 
 
 def test_leases_of_failed_leader_expire():
@@ -77,12 +78,12 @@
 
     The engines would otherwise stay full for short requests.
     """
-    model = GroupNetwork()
-    model.start_group(MEMBERS)
-    model.run_without_faults(2)
-    model.failed_groups.add('g0')
-    model.now += LEASE_SECONDS
-    assert all_memory_is_free(model)
+    network = GroupNetwork()
+    network.start_group(MEMBERS)
+    network.run_without_faults(2)
+    network.failed_groups.add('g0')
+    network.now += LEASE_SECONDS
+    assert all_memory_is_free(network)
 
 
 def test_restarted_member_fails_the_group():
@@ -91,35 +92,37 @@
     The restarted member has lost its lease, so the group must fail and the
     other members must release their memory.
     """
-    model = GroupNetwork()
-    leader = model.start_group(MEMBERS)
-    model.run_without_faults(2)
-    model.members['e2'].restart(model.now)
-    model.run_without_faults(LEASE_SECONDS + 2)
+    network = GroupNetwork()
+    leader = network.start_group(MEMBERS)
+    network.run_without_faults(2)
+    network.members['e2'].restart(network.now)
+    network.run_without_faults(LEASE_SECONDS + 2)
     assert leader.failure == ReservationFailure.LEASE_LOST
-    assert all_memory_is_free(model)
+    assert all_memory_is_free(network)
 
 
 def test_silent_member_fails_the_group():
-    model = GroupNetwork()
-    leader = model.start_group(('e1', 'e2'))
+    network = GroupNetwork()
+    leader = network.start_group(('e1', 'e2'))
     for _ in range(40):
-        model.send_due()
-        model.packets = [one for one in model.packets if one.endpoint != 'e2']
-        while model.packets:
-            model.deliver(0)
-        model.now += 0.25
+        network.send_due()
+        network.packets = [
+            one for one in network.packets if one.endpoint != 'e2'
+        ]
+        while network.packets:
+            network.deliver(0)
+        network.now += 0.25
     assert leader.failure == ReservationFailure.MEMBER_SILENT
-    assert not model.members['e1'].leased_tokens(model.now)
+    assert not network.members['e1'].leased_tokens(network.now)
 
 
 def test_next_wake_keeps_leases_renewed():
-    model = GroupNetwork()
-    leader = model.start_group(MEMBERS)
+    network = GroupNetwork()
+    leader = network.start_group(MEMBERS)
     for _ in range(200):
-        wake = leader.next_wake(model.now)
-        model.now = max(model.now, wake)
-        model.run_without_faults(0.25)
+        wake = leader.next_wake(network.now)
+        network.now = max(network.now, wake)
+        network.run_without_faults(0.25)
     assert leader.state == ReservationState.HELD
 
 
@@ -129,11 +132,11 @@
 
 
 def has_packets(machine):
-    return bool(machine.model.packets)
+    return bool(machine.network.packets)
 
 
 def has_leaders(machine):
-    return bool(machine.model.leaders)
+    return bool(machine.network.leaders)
 
 
 class GroupMachine(stateful.RuleBasedStateMachine):
@@ -141,7 +144,7 @@
 
     def __init__(self):
         super().__init__()
-        self.model = GroupNetwork()
+        self.network = GroupNetwork()
 
     @stateful.rule(
         names=st.permutations(MEMBERS),
@@ -149,76 +152,76 @@
         tokens=st.integers(30, CAPACITY),
     )
     def begin(self, names, size, tokens):
-        if len(self.model.leaders) < 4:
-            self.model.start_group(names[:size], tokens)
+        if len(self.network.leaders) < 4:
+            self.network.start_group(names[:size], tokens)
 
     @stateful.rule()
     def step(self):
-        self.model.send_due()
+        self.network.send_due()
 
     @stateful.precondition(has_packets)
     @stateful.rule(position=st.integers(0, 50))
     def deliver(self, position):
-        self.model.deliver(position)
+        self.network.deliver(position)
 
     @stateful.precondition(has_packets)
     @stateful.rule(position=st.integers(0, 50))
     def repeat(self, position):
-        packets = self.model.packets
+        packets = self.network.packets
         packets.append(packets[position % len(packets)])
 
     @stateful.precondition(has_packets)
     @stateful.rule(position=st.integers(0, 50))
     def lose(self, position):
-        packets = self.model.packets
+        packets = self.network.packets
         packets.pop(position % len(packets))
 
     @stateful.rule(seconds=st.sampled_from((0.1, 0.6, 3, 7, 12)))
     def wait(self, seconds):
-        self.model.now += seconds
+        self.network.now += seconds
 
     @stateful.rule(name=st.sampled_from(MEMBERS))
     def restart_member(self, name):
-        self.model.members[name].restart(self.model.now)
+        self.network.members[name].restart(self.network.now)
 
     @stateful.precondition(has_leaders)
     @stateful.rule(position=st.integers(0, 3), fails=st.booleans())
     def end_group(self, position, fails):
-        group = list(self.model.leaders)[position % len(self.model.leaders)]
+        group = list(self.network.leaders)[position % len(self.network.leaders)]
         if fails:
-            self.model.failed_groups.add(group)
+            self.network.failed_groups.add(group)
         else:
-            self.model.leaders[group].release(self.model.now)
+            self.network.leaders[group].release(self.network.now)
 
     @stateful.invariant()
     def no_member_exceeds_its_memory(self):
-        for member in self.model.members.values():
-            assert member.leased_tokens(self.model.now) <= CAPACITY
+        for member in self.network.members.values():
+            assert member.leased_tokens(self.network.now) <= CAPACITY
 
     @stateful.invariant()
     def held_group_has_leases_at_members(self):
-        now = self.model.now
-        for group, leader in self.model.live_leaders().items():
+        now = self.network.now
+        for group, leader in self.network.live_leaders().items():
             if not leader.is_held(now):
                 continue
             for one in leader.members:
-                member = self.model.members[one.endpoint]
+                member = self.network.members[one.endpoint]
                 since = one.lease_expires_at - one.lease_seconds
                 assert (
                     member.has_lease(group, now) or member.restarted_at >= since
                 )
 
     def teardown(self):
-        model = self.model
-        model.run_without_faults(RESERVATION_TIMEOUT_SECONDS + 1)
-        states = {one.state for one in model.live_leaders().values()}
+        network = self.network
+        network.run_without_faults(RESERVATION_TIMEOUT_SECONDS + 1)
+        states = {one.state for one in network.live_leaders().values()}
         assert ReservationState.RESERVING not in states
-        for leader in model.live_leaders().values():
-            leader.release(model.now)
-        model.run_without_faults(LEASE_SECONDS + 1)
-        assert all_memory_is_free(model)
-        last = model.start_group(MEMBERS)
-        model.run_without_faults(3)
+        for leader in network.live_leaders().values():
+            leader.release(network.now)
+        network.run_without_faults(LEASE_SECONDS + 1)
+        assert all_memory_is_free(network)
+        last = network.start_group(MEMBERS)
+        network.run_without_faults(3)
         assert last.state == ReservationState.HELD
 
 
@@ -232,11 +235,11 @@
 
 
 def test_answer_without_number_counts_from_first_request():
-    model = GroupNetwork()
-    leader = model.start_group(('e1', 'e2'))
+    network = GroupNetwork()
+    leader = network.start_group(('e1', 'e2'))
     first = leader.due(0)[0]
     assert isinstance(first.message, GroupReserve)
-    answer = model.members['e1'].handle(first.message, 0)
+    answer = network.members['e1'].handle(first.message, 0)
     leader.take_answer('e1', type(answer)(group='g0', span=0, granted=True), 2)
     assert leader.members[0].lease_expires_at == LEASE_SECONDS
 
@@ -246,9 +249,9 @@
 
     The leader would run spans on memory that a failed member has released.
     """
-    model = GroupNetwork()
-    leader = model.start_group(('e1', 'e2'))
-    answer = model.members['e1'].handle(leader.due(0)[0].message, 0)
+    network = GroupNetwork()
+    leader = network.start_group(('e1', 'e2'))
+    answer = network.members['e1'].handle(leader.due(0)[0].message, 0)
     leader.take_answer('e1', answer, 0.1)
     assert leader.due(3)
     leader.take_answer('e1', answer, 3.1)
--- a/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
@@ -118,7 +118,7 @@
             self.open_bands += 1
 
     def tokens_ahead(self, band: PromptBand) -> int:
-        """Return the prompt tokens pending for a band and shorter bands."""
+        """Return the prompt tokens that the engine computes up to a band."""
         return sum(self.pending[: PRIORITY[band] + 1])
 
     def apply_report(self, report: EndpointView) -> None:
@@ -131,11 +131,11 @@
         """
         view = copy.copy(report)
         view.service_rate = report.telling_rate or self.view.service_rate
-        had_requests = max(self.sent_requests, self.requests_at_report)
-        view.running = max(0, report.running + report.waiting - had_requests)
+        own_requests = max(self.sent_requests, self.requests_at_report)
+        view.running = max(0, report.running + report.waiting - own_requests)
         view.waiting = 0
-        had_tokens = max(self.sent_new_tokens, self.new_tokens_at_report)
-        view.backlog_tokens = max(0, report.backlog_tokens - had_tokens)
+        own_new_tokens = max(self.sent_new_tokens, self.new_tokens_at_report)
+        view.backlog_tokens = max(0, report.backlog_tokens - own_new_tokens)
         if view.capacity_tokens:
             max_free_tokens = view.capacity_tokens - self.own_tokens
             view.free_tokens = max(0, min(view.free_tokens, max_free_tokens))
