--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/wire.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/wire.py
@@ -1,7 +1,7 @@
-"""What headers mean, whatever their names are.
+"""The meaning of request and answer headers, independent of their names.
 
-The adapter to a platform implements `WireFormat`; nothing else knows how the
-platform spells what callers and endpoints say.
+The adapter to a platform implements `WireFormat`. No other module knows the
+names and formats of the platform's headers.
 """
 
 import abc
@@ -10,25 +10,25 @@
 from sycamore_core.ids import EndpointId, WorkspaceId
 from tornado.httputil import HTTPHeaders
 
-_HUNDRED = 100
-_SUCCESS = 2
+_STATUS_CLASS_SIZE = 100
+_SUCCESS_CLASS = 2
 
 
 class CallTerms(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller says of its request.
+    """Request parameters that a caller sends in headers.
 
     Attributes
     ----------
     request_id
-        Id of this try of the caller; a repeat by the caller has another.
+        Id of the request; a retry by the caller has another id.
     patience
-        Time for which the caller waits, in seconds; None if it did not say.
+        Timeout of the caller, in seconds; None if the caller sent none.
     api_key
-        Key of a workspace; empty if there was none.
+        API key of a workspace; empty if the caller sent none.
     prompt_tokens
-        Length of the prompt; 0 if it did not say.
+        Length of the prompt, in tokens; 0 if the caller sent none.
     answer_tokens
-        Most tokens of the answer; 0 if it did not say.
+        Longest answer, in tokens; 0 if the caller sent none.
     """
 
     request_id: str = ''
@@ -39,12 +39,14 @@
 
 
 class Helper(msgspec.Struct, frozen=True):
-    """An engine that helps to read a prompt.
+    """An engine that reads a part of a prompt for another engine.
 
     Attributes
     ----------
+    address
+        Address of the engine, as ``HOST:PORT``.
     reservation
-        Id under which it stores its part; empty if it stores nothing.
+        Id of the reserved memory for its part; empty if it reserves none.
     """
 
     address: str
@@ -52,20 +54,23 @@
 
 
 class OutgoingTerms(msgspec.Struct, frozen=True, kw_only=True):
-    """What an entry tells an endpoint with a request.
+    """Request parameters that an entry sends to an endpoint.
 
     Attributes
     ----------
     endpoint
-        Only this endpoint may run the request.
+        The only endpoint that may run the request.
     seconds_left
-        After this time the endpoint stops.
+        Time after which the endpoint stops the request, in seconds.
     workspace
-        Whose request it is; None on public routes.
+        Workspace that the request belongs to; None on public routes.
     priority
         Rank in the endpoint's queue; 0 is the first.
+    helpers
+        Engines that read parts of the prompt.
     after_event
-        Last event that the caller has of a stream that is resumed.
+        Id of the last event that the caller received, if the request resumes
+        a stream; otherwise empty.
     """
 
     endpoint: EndpointId
@@ -77,14 +82,14 @@
 
 
 class NamedLimit(msgspec.Struct, frozen=True):
-    """What an endpoint says of the rate that it takes from all entries.
+    """Rate limit that an endpoint sets for all entries together.
 
     Attributes
     ----------
     per_second
-        Requests a second; None if it names no limit.
+        Requests per second; None if the endpoint sets no limit.
     is_unreadable
-        Whether it names one that is no rate: what was known of it stays.
+        Whether the header is no valid rate; the previous limit then stays.
     """
 
     per_second: float | None = None
@@ -95,14 +100,15 @@
 
 
 class AskedRest(msgspec.Struct, frozen=True):
-    """For how long an endpoint that turns a request away wants no other.
+    """Backoff that an endpoint requests when it refuses a request.
 
     Attributes
     ----------
     seconds
-        How long this entry is to send nothing; None if it does not ask.
+        Time during which this entry sends no requests, in seconds; None if
+        the endpoint requests no backoff.
     is_unreadable
-        Whether it asks for something that is no time.
+        Whether the header is no valid time.
     """
 
     seconds: float | None = None
@@ -117,30 +123,34 @@
 
     Attributes
     ----------
+    status
+        HTTP status code.
     headers
-        What is handed on to the caller.
+        Headers that are forwarded to the caller.
     request_id
-        Request that it answers; empty if it does not say.
+        Id of the answered request; empty if the answer has none.
     has_not_run
-        Whether the endpoint says that it did not run the request.
+        Whether the endpoint states that it did not run the request.
     is_signed
-        Whether it is signed as the endpoint's own.
+        Whether the answer carries the signature of the endpoint.
     is_other_instance
-        Whether another endpoint than the named one has this address.
+        Whether another endpoint than the addressed one has this address.
     faulty_address
-        Endpoint at fault where it is another one; else empty.
+        Address of the endpoint at fault, if it is another one; otherwise
+        empty.
     idle_seconds
-        How long the endpoint keeps the connection; None if it does not say.
+        Idle timeout of the connection, in seconds; None if the endpoint sent
+        none.
     closes
         Whether the endpoint closes the connection after this answer.
     limit
-        The rate of requests that it takes.
+        Rate limit of the endpoint.
     is_leaving
-        Whether it says that it takes no new requests before it ends.
+        Whether the endpoint accepts no new requests because it shuts down.
     rest
-        The rest that it asks for with a refusal.
+        Backoff that the endpoint requests with a refusal.
     unknown_names
-        Headers whose meaning is not known here.
+        Names of headers that the adapter does not know.
     """
 
     status: int
@@ -160,18 +170,18 @@
     @property
     def is_success(self) -> bool:
         """Whether the request was answered with success."""
-        return self.status // _HUNDRED == _SUCCESS
+        return self.status // _STATUS_CLASS_SIZE == _SUCCESS_CLASS
 
 
 class Order(msgspec.Struct, frozen=True):
-    """An order to an engine, as an HTTP request."""
+    """A control request to an engine, as path and body of an HTTP request."""
 
     path: str
     body: bytes
 
 
 class WireFormat(abc.ABC):
-    """Reads and writes what callers and endpoints say in headers."""
+    """Decodes and encodes the headers of callers and endpoints."""
 
     @abc.abstractmethod
     def request_id(self, headers: HTTPHeaders) -> str:
@@ -179,12 +189,12 @@
 
     @abc.abstractmethod
     def read_terms(self, headers: HTTPHeaders) -> CallTerms:
-        """Return what a caller says.
+        """Return the request parameters that a caller sent.
 
         Raises
         ------
         WireError
-            If a value that is needed cannot be read.
+            If a required value cannot be parsed.
         """
 
     @abc.abstractmethod
@@ -195,22 +205,22 @@
     ) -> HTTPHeaders:
         """Return the headers of a request to an endpoint.
 
-        Those that concern the caller's connection alone, the caller's key,
-        and those that only the system may set, are left out.
+        Hop-by-hop headers, the caller's key, and headers that only the system
+        may set are left out.
         """
 
     @abc.abstractmethod
     def read_head(self, status: int, headers: HTTPHeaders) -> AnswerHead:
-        """Return what an endpoint's answer says of itself."""
+        """Return the decoded status and headers of an endpoint's answer."""
 
     @abc.abstractmethod
     def own_headers(self, request_id: str) -> HTTPHeaders:
-        """Return the headers of an answer of the entry itself."""
+        """Return the headers of an answer that the entry creates itself."""
 
     @abc.abstractmethod
     def reserve(self, reservation: str, tokens: int, hold: float) -> Order:
-        """Return the order to set memory aside for `hold` seconds."""
+        """Return the order to reserve memory for `hold` seconds."""
 
     @abc.abstractmethod
     def release(self, reservation: str) -> Order:
-        """Return the order to give the memory back."""
+        """Return the order to release reserved memory."""
