--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/__init__.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Attempts at endpoints: connections, answers, silence and set-aside memory."""
+"""Attempts at endpoints: connections, answers, timeouts and reservations."""
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/hearing.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/answer_observer.py
@@ -1,4 +1,4 @@
-"""What answers say of the endpoint that gave them, beside the answer itself."""
+"""Applies what the headers of answers report about their endpoint."""
 
 from sycamore_core.routing import EndpointRecord
 
@@ -6,57 +6,62 @@
 from ..wire import NO_LIMIT, NO_REST, AnswerHead
 
 
-class AnswerHearing:
-    """Notes what endpoints say of themselves, for all later decisions."""
+class AnswerObserver:
+    """Records reports of endpoints about themselves for later decisions."""
 
     def __init__(self, context: ForwardingContext) -> None:
         self.context = context
 
-    def answered(
+    def observe_answer(
         self,
         record: EndpointRecord,
         head: AnswerHead,
         request_id: str,
     ) -> None:
-        """Take what the answer to a request says of its endpoint."""
+        """Apply the reports in the answer to a request."""
         if head.is_other_instance:
             return
-        self._take_words(record, head, request_id)
+        self._apply_common(record, head, request_id)
         if head.is_success and head.limit == NO_LIMIT:
-            # That ends one. A refusal without a limit does not: it may come
-            # from a part of the endpoint that does not know it.
-            self._take_limit(record, head, request_id)
+            # A success without a limit ends an earlier limit. A refusal does
+            # not, as it may come from a part of the endpoint that does not
+            # know the limit.
+            self._apply_limit(record, head, request_id)
         if not head.has_not_run:
             self.context.dispatcher.rests.accepted(record.lifetime)
 
-    def order_answered(self, record: EndpointRecord, head: AnswerHead) -> None:
-        """Take what the answer to an order says of its endpoint."""
+    def observe_order_answer(
+        self,
+        record: EndpointRecord,
+        head: AnswerHead,
+    ) -> None:
+        """Apply the reports in the answer to a reservation order."""
         if not head.is_other_instance:
-            self._take_words(record, head, request_id='')
+            self._apply_common(record, head, request_id='')
 
-    def _take_words(
+    def _apply_common(
         self,
         record: EndpointRecord,
         head: AnswerHead,
         request_id: str,
     ) -> None:
-        """Take what holds whatever the answer is to."""
-        self.context.unknown_headers.note(
+        """Apply the reports that any answer may carry."""
+        self.context.unknown_headers.record(
             head.unknown_names,
             record.endpoint,
         )
-        self._take_leaving(record, head, request_id)
-        self._take_rest(record, head, request_id)
+        self._apply_leaving(record, head, request_id)
+        self._apply_backoff(record, head, request_id)
         if head.limit.per_second is not None:
-            self._take_limit(record, head, request_id)
+            self._apply_limit(record, head, request_id)
 
-    def _take_rest(
+    def _apply_backoff(
         self,
         record: EndpointRecord,
         head: AnswerHead,
         request_id: str,
     ) -> None:
-        """Send nothing to an endpoint for as long as it asks."""
+        """Apply the backoff that an endpoint requests."""
         if head.rest == NO_REST:
             return
         seconds = head.rest.seconds
@@ -71,20 +76,21 @@
             seconds=seconds,
         )
 
-    def _take_leaving(
+    def _apply_leaving(
         self,
         record: EndpointRecord,
         head: AnswerHead,
         request_id: str,
     ) -> None:
-        """Send nothing more to an endpoint that leaves.
+        """Take an endpoint that reports that it leaves out of use.
 
-        Its registration says so as well, but not while the platform is away.
+        Its registration shows this as well, but not while the platform is
+        unreachable.
         """
-        is_news = head.is_leaving and self.context.keeper.leaving.said(
+        is_new = head.is_leaving and self.context.keeper.leaving.mark_leaving(
             record.lifetime,
         )
-        if not is_news:
+        if not is_new:
             return
         self.context.dispatcher.tell_at_once(record.endpoint)
         self.context.log.info(
@@ -95,13 +101,13 @@
             status=head.status,
         )
 
-    def _take_limit(
+    def _apply_limit(
         self,
         record: EndpointRecord,
         head: AnswerHead,
         request_id: str,
     ) -> None:
-        """Note the rate of requests that the endpoint takes."""
+        """Apply the rate limit that an endpoint names."""
         dispatcher = self.context.dispatcher
         now = self.context.clock.monotonic()
         limit = head.limit.per_second
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request is sent to an endpoint and its answer relayed."""
+"""Sends a request to one endpoint and relays the answer."""
 
 import asyncio
 
@@ -12,29 +12,30 @@
 from ..errors import AttemptError
 from ..placement.placing import read_request
 from ..wire import AnswerHead, Helper, OutgoingTerms
+from .answer_observer import AnswerObserver
 from .channel import EndpointChannel
-from .hearing import AnswerHearing
 from .relay import AnswerRelay
 from .reservations import Reservations
 from .silence import SilenceWatch
 
-#: Ranks that an endpoint's queue knows.
-_LAST_RANK = 9
-#: Rank of an ordinary short turn, which is read before longer prompts.
-_SHORT_RANK = 3
-_LONG_RANK = 5
-#: Least time that an endpoint is told, in seconds; the wire's unit.
-_LEAST_SECONDS = 0.001
+#: Lowest priority in the queue of an endpoint.
+_LOWEST_PRIORITY = 9
+#: Priority of an ordinary short request, which is read before longer prompts.
+_SHORT_REQUEST_PRIORITY = 3
+_LONG_REQUEST_PRIORITY = 5
+#: Shortest remaining time that is sent to an endpoint, in seconds. It is the
+#: smallest unit of the wire format.
+_MIN_SECONDS_LEFT = 0.001
 
 
 class Attempt:
-    """One request at one endpoint, and at those that help it.
+    """One request at one endpoint and its helpers.
 
     Parameters
     ----------
     watch
-        Ends the attempt if the endpoint is silent for too long; it names the
-        request and the endpoint.
+        Ends the attempt if the endpoint is silent for too long. It also holds
+        the request and its placement.
     """
 
     def __init__(self, watch: SilenceWatch) -> None:
@@ -42,7 +43,7 @@
         self.context = watch.context
         self.call = watch.call
         self.placement = watch.placement
-        self.hearing = AnswerHearing(self.context)
+        self.observer = AnswerObserver(self.context)
 
     async def run(self, relay: AnswerRelay) -> None:
         """Send the request and relay the answer.
@@ -50,10 +51,10 @@
         Raises
         ------
         AttemptError
-            If the caller has no whole answer after it.
+            If the caller has not received a complete answer.
         """
         dispatcher = self.context.dispatcher
-        began = self._now()
+        started_at = self._now()
         dispatcher.request_sent(self.placement)
         dispatcher.begin(self.call.request_id, self._assignments())
         try:
@@ -61,13 +62,14 @@
         finally:
             dispatcher.end(self.call.request_id, self.placement)
         dispatcher.failures.answered(self.placement.home.endpoint)
-        if self.watch.is_turn:
-            dispatcher.turn_ended(self._now() - began)
+        if self.watch.is_short:
+            dispatcher.turn_ended(self._now() - started_at)
 
     def shows_fault(self, error: AttemptError) -> bool:
-        """Return whether an attempt failed by a fault of the endpoint.
+        """Return whether an attempt failed because of the endpoint.
 
-        One that gives others their events meanwhile is only busy.
+        An endpoint that sends events for other requests meanwhile is only
+        busy.
         """
         if error.end == AttemptEnd.SILENT:
             return not self.watch.is_endpoint_alive
@@ -79,8 +81,8 @@
             return
         reservations = Reservations(self.context, self.placement)
         try:
-            await reservations.make()
-            await self._run_on_channel(relay, reservations.made)
+            await reservations.acquire()
+            await self._run_on_channel(relay, reservations.granted)
         finally:
             reservations.release()
 
@@ -90,28 +92,31 @@
         reserved: tuple[Helper, ...],
     ) -> None:
         home = self.placement.home
-        # A stream counts as idempotent only if it can be resumed; see
-        # `ChannelPool.take` for what a kept connection would risk.
+        # A stream counts as idempotent only if it can be resumed. The `fresh`
+        # parameter of the pool explains the risk of an idle connection.
         fresh = not self.call.route.kind.is_idempotent
         channel = await self.context.pool.take(home, fresh=fresh)
         try:
-            self._check_still_taken()
+            self._check_still_accepts()
             self._send(channel, relay, reserved)
             await self._relay(channel, relay)
         except BaseException:
             channel.close()
             raise
-        self.context.pool.give_back(home, channel)
+        self.context.pool.release(home, channel)
 
-    def _check_still_taken(self) -> None:
-        """Send nothing to an endpoint that has meanwhile asked for rest.
+    def _check_still_accepts(self) -> None:
+        """Raise if the endpoint has requested a backoff meanwhile.
 
-        What goes wrong otherwise: connections by the dozen wait for an
-        endpoint that is full, and each sends its request after the word.
+        Without this, dozens of connections wait for an endpoint that is full,
+        and each sends its request although the endpoint has asked for none.
         """
         candidates = self.context.dispatcher.candidates
         if not candidates.still_takes(self.placement.home, self._now()):
-            raise AttemptError(AttemptEnd.HELD_BACK, 'takes nothing now')
+            raise AttemptError(
+                AttemptEnd.HELD_BACK,
+                'the endpoint does not accept requests at present',
+            )
 
     def _send(
         self,
@@ -124,7 +129,10 @@
             call.request.headers,
             OutgoingTerms(
                 endpoint=self.placement.home.endpoint,
-                seconds_left=max(_LEAST_SECONDS, self.call.limit - self._now()),
+                seconds_left=max(
+                    _MIN_SECONDS_LEFT,
+                    self.call.limit - self._now(),
+                ),
                 workspace=call.workspace,
                 priority=self._priority(),
                 helpers=self._helpers(reserved),
@@ -147,7 +155,10 @@
             await self._relay_watched(channel, relay)
         except AttemptError as error:
             if watch.done():
-                raise AttemptError(AttemptEnd.SILENT, 'no answer') from error
+                raise AttemptError(
+                    AttemptEnd.SILENT,
+                    'the endpoint was silent for too long',
+                ) from error
             raise
         finally:
             watch.cancel()
@@ -158,7 +169,7 @@
         relay: AnswerRelay,
     ) -> None:
         head = await channel.read_head()
-        self.hearing.answered(
+        self.observer.observe_answer(
             self.placement.home,
             head,
             self.call.request_id,
@@ -166,10 +177,13 @@
         self._check_ran(head)
         if self.call.route.kind.is_stream and head.is_success:
             if not head.is_signed:
-                raise AttemptError(AttemptEnd.BROKEN, 'not signed')
-            await relay.stream(head, channel, self._on_event)
+                raise AttemptError(
+                    AttemptEnd.BROKEN,
+                    'the answer is not signed',
+                )
+            await relay.relay_stream(head, channel, self._on_event)
         else:
-            await relay.whole(head, channel)
+            await relay.relay_whole(head, channel)
 
     def _check_ran(self, head: AnswerHead) -> None:
         if head.has_not_run or head.is_other_instance:
@@ -182,7 +196,7 @@
     def _on_event(self) -> None:
         dispatcher = self.context.dispatcher
         dispatcher.sent_something(self.placement.home.endpoint)
-        if self.watch.event():
+        if self.watch.record_event():
             dispatcher.first_event(self.call.request_id, self.placement)
 
     def _helpers(self, reserved: tuple[Helper, ...]) -> tuple[Helper, ...]:
@@ -194,10 +208,10 @@
 
     def _priority(self) -> int:
         if self.call.service.engine is None:
-            return min(_LAST_RANK, self.call.route.priority)
-        if self.watch.is_turn:
-            return _SHORT_RANK
-        return _LONG_RANK
+            return min(_LOWEST_PRIORITY, self.call.route.priority)
+        if self.watch.is_short:
+            return _SHORT_REQUEST_PRIORITY
+        return _LONG_REQUEST_PRIORITY
 
     def _assignments(self) -> dict[EndpointId, Assignment]:
         request = read_request(self.call, self._now())
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/channel.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/channel.py
@@ -1,8 +1,8 @@
-"""One connection to an endpoint, held by the entry itself.
+"""One connection to an endpoint, managed by the entry itself.
 
-What goes wrong with a client library's own pool: it sends a request once more
-by itself when a kept connection turns out to be closed, and a deposit is
-recorded twice. Here nothing is sent that was not decided.
+The connection pool of a client library resends a request by itself if an idle
+connection turns out to be closed, so that a deposit would be recorded twice.
+This module never resends a request.
 """
 
 import asyncio
@@ -23,27 +23,27 @@
 from ..errors import AttemptError
 from ..wire import AnswerHead, WireFormat
 
-#: Time to make a connection, in seconds. Endpoints accept within a few
-#: milliseconds; one that does not is gone or cut off.
+#: Timeout of a connection attempt, in seconds. Endpoints accept within a few
+#: milliseconds; an endpoint that does not is gone or unreachable.
 CONNECT_SECONDS = 0.5
-#: Bytes of an answer that wait for a slow caller before reading stops.
+#: Bytes of an answer that are buffered for a slow caller before reading stops.
 _BUFFER_BYTES = 262_144
-#: How the reading of an answer ends early.
-_ENDS = (StreamClosedError, HTTPInputError, OSError)
-#: Unacknowledged bytes end a connection after this time, in milliseconds. A
-#: cut network would otherwise hold it for many minutes.
-_USER_TIMEOUT_MS = 3000
+#: Errors that end the reading of an answer early.
+_READ_ERRORS = (StreamClosedError, HTTPInputError, OSError)
+#: Time after which unacknowledged bytes end a connection, in milliseconds.
+#: Without it, a broken network would keep the connection for many minutes.
+_UNACKNOWLEDGED_TIMEOUT_MS = 3000
 
 
 class EndpointStream(IOStream):
-    """A TCP connection that can tell whether it is fit for another request."""
+    """A TCP connection that reports whether it can carry another request."""
 
     @property
     def is_clean(self) -> bool:
-        """Whether it is open and no bytes have come that nobody asked for.
+        """Whether the connection is open and has received no stray bytes.
 
-        What goes wrong otherwise: an endpoint sends a second answer, which
-        the next request on the connection would take for its own.
+        Without this check, a second answer that an endpoint sends would be
+        read as the answer to the next request on the connection.
         """
         if self.closed() or self._read_buffer_size:
             return False
@@ -57,63 +57,63 @@
 
 
 class AnswerReader(HTTPMessageDelegate):
-    """Takes one answer as it arrives."""
+    """Buffers one answer as it arrives."""
 
     def __init__(self) -> None:
         self.start: ResponseStartLine | None = None
         self.headers: HTTPHeaders | None = None
         self.is_complete = False
         self.is_over = False
-        self._pieces: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._waiting_bytes = 0
         self._arrived = asyncio.Event()
-        self._taken = asyncio.Event()
+        self._consumed = asyncio.Event()
 
     def headers_received(
         self,
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> None:
-        """Take status and headers."""
+        """Store status and headers."""
         self.start = start_line  # type: ignore[assignment]
         self.headers = headers
         self._arrived.set()
 
     async def data_received(self, chunk: bytes) -> None:
-        """Take bytes of the body; return once there is room for more."""
-        self._pieces.append(chunk)
+        """Buffer bytes of the body; return once the buffer has capacity."""
+        self._chunks.append(chunk)
         self._waiting_bytes += len(chunk)
         self._arrived.set()
         while self._waiting_bytes > _BUFFER_BYTES:
-            self._taken.clear()
-            await self._taken.wait()
+            self._consumed.clear()
+            await self._consumed.wait()
 
     def finish(self) -> None:
-        """Note that the answer is complete."""
+        """Record that the answer is complete."""
         self.is_complete = True
         self.end()
 
     def on_connection_close(self) -> None:
-        """Note that the connection broke before the end."""
+        """Record that the connection broke before the end of the answer."""
         self.end()
 
     def end(self) -> None:
-        """Note that nothing more will come."""
+        """Record that no more bytes will arrive."""
         self.is_over = True
         self._arrived.set()
 
     async def wait(self) -> None:
-        """Return when something has arrived since the last call."""
+        """Wait until something has arrived since the last call."""
         await self._arrived.wait()
         self._arrived.clear()
 
-    def take(self) -> bytes:
-        """Return the bytes that have arrived and were not taken."""
-        taken = b''.join(self._pieces)
-        self._pieces.clear()
+    def pop_body(self) -> bytes:
+        """Remove and return the buffered bytes of the body."""
+        body = b''.join(self._chunks)
+        self._chunks.clear()
         self._waiting_bytes = 0
-        self._taken.set()
-        return taken
+        self._consumed.set()
+        return body
 
 
 class EndpointChannel:
@@ -122,9 +122,9 @@
     Attributes
     ----------
     idle_since
-        When the last answer ended, on the loop's clock.
+        When the last answer ended, on the clock of the event loop.
     idle_seconds
-        How long the endpoint keeps it open; None if it did not say.
+        How long the endpoint keeps an idle connection open; None if unknown.
     """
 
     def __init__(self, stream: EndpointStream, wire: WireFormat) -> None:
@@ -149,7 +149,7 @@
         Raises
         ------
         AttemptError
-            If none could be made.
+            If the endpoint could not be connected to.
         """
         stream = EndpointStream(_new_socket())
         try:
@@ -159,7 +159,7 @@
             stream.close()
             raise AttemptError(
                 AttemptEnd.NOT_SENT,
-                f'no connection: {error}',
+                f'connection failed: {error}',
             ) from error
         except asyncio.CancelledError:
             stream.close()
@@ -173,7 +173,7 @@
         body: bytes,
         request_id: str,
     ) -> None:
-        """Begin to send a request and to read its answer."""
+        """Send a request and start to read its answer."""
         self.head = None
         self.reader = AnswerReader()
         self._request_id = request_id
@@ -188,32 +188,35 @@
         Raises
         ------
         AttemptError
-            If the connection ends before them.
+            If the connection ends before the headers.
         """
         while self.head is None:
             start = self.reader.start
             if start:
-                self._take_head(start)
+                self._parse_head(start)
             elif self.reader.is_over:
-                raise AttemptError(AttemptEnd.BROKEN, 'closed, no answer')
+                raise AttemptError(
+                    AttemptEnd.BROKEN,
+                    'connection closed before the answer',
+                )
             else:
                 await self.reader.wait()
         return self.head
 
-    async def read_some(self) -> bytes:
-        """Return the next bytes of the body; none at its complete end.
+    async def read_chunk(self) -> bytes:
+        """Return the next bytes of the body; empty once it is complete.
 
         Raises
         ------
         AttemptError
-            If the connection ends before that.
+            If the connection ends before the body is complete.
         """
         while True:
-            taken = self.reader.take()
-            if taken:
-                return taken
+            chunk = self.reader.pop_body()
+            if chunk:
+                return chunk
             if self.reader.is_over:
-                self._check_end()
+                self._check_complete()
                 return b''
             await self.reader.wait()
 
@@ -227,7 +230,7 @@
         return is_framed and not self.stream.writing() and self.stream.is_clean
 
     def close(self) -> None:
-        """Close the connection; an endpoint then drops its request."""
+        """Close the connection; the endpoint then cancels its request."""
         for task in self._tasks:
             task.cancel()
         self.reader.end()
@@ -243,43 +246,49 @@
             and 'Transfer-Encoding' not in headers
         )
 
-    def _take_head(self, start: ResponseStartLine) -> None:
+    def _parse_head(self, start: ResponseStartLine) -> None:
         headers = self.reader.headers or HTTPHeaders()
         head = self.wire.read_head(start.code, headers)
         if head.request_id and head.request_id != self._request_id:
-            # An answer to an earlier request that came late. The connection
-            # is given up: what follows on it cannot be told apart.
-            raise AttemptError(AttemptEnd.BROKEN, 'answer to another request')
+            # A late answer to an earlier request. The connection is closed,
+            # as later answers could not be matched to their requests.
+            raise AttemptError(
+                AttemptEnd.BROKEN,
+                'the answer belongs to another request',
+            )
         self.head = head
         if head.idle_seconds is not None:
             self.idle_seconds = head.idle_seconds
 
-    def _check_end(self) -> None:
+    def _check_complete(self) -> None:
         if not self.reader.is_complete:
-            raise AttemptError(AttemptEnd.BROKEN, 'cut in the middle')
+            raise AttemptError(AttemptEnd.BROKEN, 'the answer is incomplete')
         if self._is_unframed and self.stream.error is not None:
-            # Without a length only an orderly close marks the end; a reset
-            # may come in the middle.
-            raise AttemptError(AttemptEnd.BROKEN, 'reset, length not known')
+            # Without a length, only an orderly close marks the end of the
+            # body. A reset may occur in the middle.
+            raise AttemptError(
+                AttemptEnd.BROKEN,
+                'connection reset during an answer without a length',
+            )
 
     async def _read(self, connection: HTTP1Connection) -> None:
         reader = self.reader
         try:
-            # Whoever waits for the answer sees that it ended before it was
-            # complete, and logs that with the attempt.
-            with contextlib.suppress(*_ENDS):
+            # The attempt that waits for the answer sees that it is incomplete
+            # and logs it.
+            with contextlib.suppress(*_READ_ERRORS):
                 await connection.read_response(reader)
         finally:
             reader.end()
 
 
 def _new_socket() -> socket.socket:
-    made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    made.setblocking(False)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    made.setsockopt(
+    new_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    new_socket.setblocking(False)
+    new_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    new_socket.setsockopt(
         socket.IPPROTO_TCP,
         socket.TCP_USER_TIMEOUT,
-        _USER_TIMEOUT_MS,
+        _UNACKNOWLEDGED_TIMEOUT_MS,
     )
-    return made
+    return new_socket
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/crash_probe.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/crash_probe.py
@@ -1,45 +1,45 @@
-"""Finds out whether an endpoint has crashed or only a connection broke."""
+"""Tells the crash of an endpoint from the loss of a connection."""
 
 import asyncio
 
 from sycamore_core.routing import EndpointLifetime, EndpointRecord
 
-#: Time for the answer to a new connection, in seconds: a host whose process
-#: has ended refuses at once, one without power says nothing.
+#: Timeout of the probe's connection, in seconds. A host whose process has ended
+#: refuses at once; a host without power does not answer.
 _PROBE_SECONDS = 0.25
 
 
 class CrashProbe:
-    """Asks endpoints that broke a connection whether they still listen.
+    """Checks whether endpoints that broke a connection still listen.
 
-    Requests by the dozen may break at one endpoint; it is asked once.
+    Dozens of requests may break at one endpoint; it is probed only once.
 
     Attributes
     ----------
-    asked
-        Questions that are not answered yet.
+    pending
+        Probes that have no result yet, by endpoint.
     """
 
     def __init__(self) -> None:
-        self.asked: dict[EndpointLifetime, asyncio.Task[bool]] = {}
+        self.pending: dict[EndpointLifetime, asyncio.Task[bool]] = {}
 
     async def has_crashed(self, record: EndpointRecord) -> bool:
         """Return whether the process of an endpoint has ended.
 
-        An endpoint that cannot be reached at all may be cut off, or without
-        power, and counts as not crashed.
+        An endpoint that cannot be reached may be disconnected or without
+        power, and does not count as crashed.
         """
-        task = self.asked.get(record.lifetime)
+        task = self.pending.get(record.lifetime)
         if task is None:
-            task = asyncio.create_task(_refuses(record))
-            self.asked[record.lifetime] = task
+            task = asyncio.create_task(_refuses_connection(record))
+            self.pending[record.lifetime] = task
             task.add_done_callback(
-                lambda _: self.asked.pop(record.lifetime, None),
+                lambda _: self.pending.pop(record.lifetime, None),
             )
         return await asyncio.shield(task)
 
 
-async def _refuses(record: EndpointRecord) -> bool:
+async def _refuses_connection(record: EndpointRecord) -> bool:
     """Return whether nothing listens at the address of an endpoint."""
     try:
         async with asyncio.timeout(_PROBE_SECONDS):
@@ -47,7 +47,7 @@
     except ConnectionError:
         return True
     except (TimeoutError, OSError):
-        # Who asked logs the broken attempt; silence is no sign of a crash.
+        # The attempt logs the lost connection. Silence is no sign of a crash.
         return False
     writer.close()
     return False
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/events.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/events.py
@@ -1,9 +1,9 @@
-r"""Cuts a stream of server-sent events into whole events.
+r"""Splits a stream of server-sent events into complete events.
 
-What goes wrong: an endpoint dies in the middle of an event, and another one
-goes on with the stream. Handed on as they come, the bytes of half an event
-would stand before the next one, and the caller would read a piece that nobody
-wrote. Only whole events are therefore handed on.
+An endpoint may die in the middle of an event, after which another endpoint
+resumes the stream. If bytes were forwarded as they arrive, half an event would
+stand before the next event, and the caller would read a corrupted event. Only
+complete events are therefore forwarded.
 """
 
 import msgspec
@@ -13,53 +13,53 @@
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One event.
+    """One server-sent event.
 
     Attributes
     ----------
     number
-        Its id; -1 if it has none that is a number.
+        Numeric id of the event; -1 if it has none.
     payload
-        Its bytes, the empty line at its end included.
+        Bytes of the event, including the empty line at its end.
     """
 
     number: int
     payload: bytes
 
 
-class EventCutter:
-    r"""Collects bytes until an event is whole.
+class EventSplitter:
+    r"""Buffers bytes until an event is complete.
 
     Examples
     --------
-    >>> cutter = EventCutter()
-    >>> cutter.feed(b'id: 7\ndata: he')
+    >>> splitter = EventSplitter()
+    >>> splitter.feed(b'id: 7\ndata: he')
     []
-    >>> cutter.feed(b'llo\n\n')
+    >>> splitter.feed(b'llo\n\n')
     [StreamEvent(number=7, payload=b'id: 7\ndata: hello\n\n')]
     """
 
     def __init__(self) -> None:
-        self.rest = b''
+        self.remainder = b''
 
     def feed(self, received: bytes) -> list[StreamEvent]:
         """Return the events that the bytes complete."""
-        # Line ends of both forms may mix; an event ends at an empty line.
-        pending = self.rest + received
+        # Both forms of line ends may occur; an event ends at an empty line.
+        pending = self.remainder + received
         if b'\r' in pending:
             pending = pending.replace(b'\r\n', b'\n')
         blocks = pending.split(_SEPARATOR)
-        self.rest = blocks.pop()
-        return [_read(block) for block in blocks if block]
+        self.remainder = blocks.pop()
+        return [_parse_event(block) for block in blocks if block]
 
 
-def _read(block: bytes) -> StreamEvent:
+def _parse_event(block: bytes) -> StreamEvent:
     number = -1
     for line in block.split(b'\n'):
         if line.startswith(_ID_FIELD):
-            number = _number_of(line.removeprefix(_ID_FIELD).strip())
+            number = _parse_id(line.removeprefix(_ID_FIELD).strip())
     return StreamEvent(number, block + _SEPARATOR)
 
 
-def _number_of(text: bytes) -> int:
+def _parse_id(text: bytes) -> int:
     return int(text) if text.isdigit() else -1
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/pool.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that are kept for the next request."""
+"""Pool of idle connections to endpoints."""
 
 import asyncio
 
@@ -7,19 +7,20 @@
 from ..wire import WireFormat
 from .channel import EndpointChannel
 
-#: Idle time after which a connection is not used again, in seconds, where the
-#: endpoint does not say how long it keeps it.
+#: Idle time after which a connection is not reused, in seconds, if the endpoint
+#: does not name its own idle timeout.
 IDLE_SECONDS = 2.0
-#: Part of the endpoint's own idle time after which it is not used again: the
-#: closing could cross the next request on the way.
-_IDLE_PART = 0.6
-#: Kept connections to one endpoint at most. An endpoint takes a few hundred
-#: from all callers together.
-_MOST_KEPT = 8
+#: Share of the endpoint's own idle timeout after which a connection is not
+#: reused. Later, the endpoint could close it while the next request is on its
+#: way.
+_IDLE_SHARE = 0.6
+#: Largest number of idle connections to one endpoint. An endpoint accepts a few
+#: hundred connections in all.
+_MAX_IDLE_CONNECTIONS = 8
 
 
 class ChannelPool:
-    """Idle connections by address and lifetime of the endpoint."""
+    """Idle connections by endpoint and address."""
 
     def __init__(self, wire: WireFormat) -> None:
         self.wire = wire
@@ -37,19 +38,19 @@
         Parameters
         ----------
         fresh
-            Whether to make a new one: a request that runs at most once must
-            not be sent on a kept connection, as one that closes at that
-            moment leaves open whether the request ran.
+            Whether to open a new connection. A request that runs at most once
+            must not be sent on an idle connection: if the endpoint closes it
+            at that moment, it is unknown whether the request has run.
 
         Raises
         ------
         AttemptError
-            If none could be made.
+            If the endpoint could not be connected to.
         """
         if not fresh:
-            kept = self._take_kept(record)
-            if kept is not None:
-                return kept
+            channel = self._pop_idle(record)
+            if channel is not None:
+                return channel
         self.opened += 1
         return await EndpointChannel.connect(
             record.host,
@@ -57,43 +58,43 @@
             self.wire,
         )
 
-    def give_back(
+    def release(
         self,
         record: EndpointRecord,
         channel: EndpointChannel,
     ) -> None:
-        """Keep a connection whose answer is complete, or close it."""
-        kept = self._idle.setdefault(_key(record), [])
-        if not channel.is_reusable or len(kept) >= _MOST_KEPT:
+        """Return a connection to the pool, or close it if not reusable."""
+        idle = self._idle.setdefault(_key(record), [])
+        if not channel.is_reusable or len(idle) >= _MAX_IDLE_CONNECTIONS:
             channel.close()
             return
         channel.idle_since = asyncio.get_running_loop().time()
-        kept.append(channel)
+        idle.append(channel)
 
     def sweep(self) -> None:
-        """Close the connections that were idle for too long."""
+        """Close the connections that have been idle for too long."""
         now = asyncio.get_running_loop().time()
-        for key, kept in tuple(self._idle.items()):
-            for channel in tuple(kept):
-                if _is_old(channel, now):
-                    kept.remove(channel)
+        for key, idle in tuple(self._idle.items()):
+            for channel in tuple(idle):
+                if _is_expired(channel, now):
+                    idle.remove(channel)
                     channel.close()
-            if not kept:
+            if not idle:
                 self._idle.pop(key)
 
     def close(self) -> None:
-        """Close all kept connections."""
-        for kept in self._idle.values():
-            for channel in kept:
+        """Close all idle connections."""
+        for idle in self._idle.values():
+            for channel in idle:
                 channel.close()
         self._idle.clear()
 
-    def _take_kept(self, record: EndpointRecord) -> EndpointChannel | None:
-        kept = self._idle.get(_key(record), [])
+    def _pop_idle(self, record: EndpointRecord) -> EndpointChannel | None:
+        idle = self._idle.get(_key(record), [])
         now = asyncio.get_running_loop().time()
-        while kept:
-            channel = kept.pop()
-            if not _is_old(channel, now) and channel.stream.is_clean:
+        while idle:
+            channel = idle.pop()
+            if not _is_expired(channel, now) and channel.stream.is_clean:
                 return channel
             channel.close()
         return None
@@ -103,8 +104,8 @@
     return record.endpoint, record.address
 
 
-def _is_old(channel: EndpointChannel, now: float) -> bool:
+def _is_expired(channel: EndpointChannel, now: float) -> bool:
     longest = IDLE_SECONDS
     if channel.idle_seconds is not None:
-        longest = channel.idle_seconds * _IDLE_PART
+        longest = channel.idle_seconds * _IDLE_SHARE
     return now - channel.idle_since > longest
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/relay.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/relay.py
@@ -1,4 +1,4 @@
-"""Hands an endpoint's answer on to the caller."""
+"""Forwards the answer of an endpoint to the caller."""
 
 from collections.abc import Callable
 
@@ -9,87 +9,91 @@
 from ..errors import AttemptError
 from ..wire import AnswerHead
 from .channel import EndpointChannel
-from .events import EventCutter, StreamEvent
+from .events import EventSplitter, StreamEvent
 
 _NO_EVENT = -1
-#: Statuses by which callers take it that a request has not run.
-_PROMISES = frozenset((408, 421, 429, 503))
+#: Statuses from which callers conclude that a request has not run.
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class AnswerRelay:
-    """The answer to one request, over all attempts.
+    """Relays the answer to one request, across all attempts.
 
     Attributes
     ----------
     last_number
-        Id of the last event that the caller has; -1 if it has none.
+        Id of the last event that the caller has received; -1 before it.
     failure
-        The last answer of an endpoint that it failed, and its body.
+        Head and body of the last answer that reports a failed request.
     """
 
     def __init__(
         self,
         answer: CallerAnswer,
         route: Route,
-        on_first: Callable[[], None],
+        on_first_bytes: Callable[[], None],
     ) -> None:
         self.answer = answer
         self.route = route
-        self.on_first = on_first
+        self.on_first_bytes = on_first_bytes
         self.last_number = _NO_EVENT
         self.failure: tuple[AnswerHead, bytes] | None = None
 
     @property
     def after_event(self) -> str:
-        """Return the event after which a stream is resumed, if it has begun."""
+        """Return the id after which to resume the stream; empty at first."""
         return '' if self.last_number < 0 else str(self.last_number)
 
-    async def whole(self, head: AnswerHead, channel: EndpointChannel) -> None:
-        """Read a whole answer and hand it on.
+    async def relay_whole(
+        self,
+        head: AnswerHead,
+        channel: EndpointChannel,
+    ) -> None:
+        """Read a complete answer and forward it.
 
         Raises
         ------
         AttemptError
-            If it is not whole, or says that the request failed.
+            If the answer is incomplete or reports that the request failed.
         """
-        body = await _read_whole(channel)
-        if head.status in _PROMISES:
-            # Handed on, this status would say that the request has not run,
-            # which the endpoint does not say.
+        body = await _read_body(channel)
+        if head.status in _NOT_RUN_STATUSES:
+            # The caller would conclude from this status that the request has
+            # not run, which the endpoint has not stated.
             raise AttemptError(AttemptEnd.BROKEN, f'status {head.status}')
         if not head.is_success:
             self.failure = (head, body)
             raise AttemptError(AttemptEnd.FAILED, f'status {head.status}')
         if not head.is_signed:
-            raise AttemptError(AttemptEnd.BROKEN, 'not signed')
-        self.on_first()
+            raise AttemptError(AttemptEnd.BROKEN, 'the answer is not signed')
+        self.on_first_bytes()
         await self.answer.send(head.status, head.headers, body)
 
-    async def stream(
+    async def relay_stream(
         self,
         head: AnswerHead,
         channel: EndpointChannel,
         on_event: Callable[[], None],
     ) -> None:
-        """Hand events on as they arrive, until the stream ends.
+        """Forward events as they arrive, until the stream ends.
 
         Raises
         ------
         AttemptError
-            If it breaks; events that were whole have been handed on.
+            If the stream breaks. Complete events have been forwarded by then.
         """
-        cutter = EventCutter()
-        piece = await channel.read_some()
-        while piece:
+        splitter = EventSplitter()
+        chunk = await channel.read_chunk()
+        while chunk:
             on_event()
-            events = [one for one in cutter.feed(piece) if self._is_new(one)]
+            events = [one for one in splitter.feed(chunk) if self._is_new(one)]
             if events:
-                await self._hand_on(head, events)
-            piece = await channel.read_some()
-        await self._finish(head, cutter.rest)
+                await self._forward(head, events)
+            chunk = await channel.read_chunk()
+        await self._finish(head, splitter.remainder)
 
     async def hand_on_failure(self) -> None:
-        """Hand on an endpoint's own failure."""
+        """Forward the last answer that reports a failure."""
         assert self.failure is not None
         head, body = self.failure
         await self.answer.send(head.status, head.headers, body)
@@ -99,7 +103,7 @@
             return True
         return event.number > self.last_number
 
-    async def _hand_on(
+    async def _forward(
         self,
         head: AnswerHead,
         events: list[StreamEvent],
@@ -109,23 +113,29 @@
         if self.answer.has_begun:
             await self.answer.write(payload)
             return
-        self.on_first()
+        self.on_first_bytes()
         await self.answer.begin(head.status, head.headers, payload)
 
-    async def _finish(self, head: AnswerHead, rest: bytes) -> None:
-        if rest.strip():
-            raise AttemptError(AttemptEnd.BROKEN, 'ends within an event')
+    async def _finish(self, head: AnswerHead, remainder: bytes) -> None:
+        if remainder.strip():
+            raise AttemptError(
+                AttemptEnd.BROKEN,
+                'the stream ends within an event',
+            )
         if not self.answer.has_begun:
             if self.route.kind == RouteKind.RESUMABLE_STREAM:
-                raise AttemptError(AttemptEnd.BROKEN, 'no event')
+                raise AttemptError(
+                    AttemptEnd.BROKEN,
+                    'the stream has no event',
+                )
             await self.answer.begin(head.status, head.headers)
         await self.answer.finish()
 
 
-async def _read_whole(channel: EndpointChannel) -> bytes:
-    pieces: list[bytes] = []
-    piece = await channel.read_some()
-    while piece:
-        pieces.append(piece)
-        piece = await channel.read_some()
-    return b''.join(pieces)
+async def _read_body(channel: EndpointChannel) -> bytes:
+    chunks: list[bytes] = []
+    chunk = await channel.read_chunk()
+    while chunk:
+        chunks.append(chunk)
+        chunk = await channel.read_chunk()
+    return b''.join(chunks)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/reservations.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/reservations.py
@@ -1,9 +1,9 @@
-"""Memory that engines set aside for parts of a prompt beyond one engine.
+"""Memory reservations at the helpers of a request.
 
-What goes wrong: an entry dies, or forgets, and memory stays set aside that
-nobody uses. Reservations are therefore leases that are shorter than the time
-within which memory must be free again, renewed while the request runs, and
-given back in every ending.
+If an entry dies or fails to release a reservation, memory would stay reserved
+without use. Reservations are therefore leases. A lease is shorter than the time
+within which memory must be free again. It is renewed while the request runs and
+released however the request ends.
 """
 
 import asyncio
@@ -17,29 +17,29 @@
 from ..errors import AttemptError
 from ..placement.dispatcher import Placement
 from ..wire import AnswerHead, Helper, Order
+from .answer_observer import AnswerObserver
 from .channel import EndpointChannel
-from .hearing import AnswerHearing
 
-#: Length of a lease, in seconds. Memory has to be free four seconds after its
-#: request, also when the entry that reserved it is gone.
-HOLD_SECONDS = 3.6
-#: Time between renewals, in seconds: two may be lost.
+#: Length of a lease, in seconds. Memory must be free four seconds after the end
+#: of its request, even if the entry that reserved it is gone.
+LEASE_SECONDS = 3.6
+#: Interval of renewals, in seconds; two renewals in a row may be lost.
 RENEW_SECONDS = 1.2
-#: Time for an order's answer, in seconds.
-ORDER_SECONDS = 0.5
-#: Tries to give memory back; the lease ends by itself after them.
-_RELEASE_TRIES = 3
-_NAME_BYTES = 6
+#: Timeout for the answer to an order, in seconds.
+ORDER_TIMEOUT_SECONDS = 0.5
+#: Attempts to release memory; after them, the lease expires by itself.
+_RELEASE_ATTEMPTS = 3
+_ID_BYTES = 6
 _HTTP_OK = 200
 
 
 class Reservations:
-    """The memory that is set aside for one attempt.
+    """The memory reservations of one attempt.
 
     Attributes
     ----------
-    made
-        Helpers at which memory is set aside, with its id.
+    granted
+        Helpers that have reserved memory, with the id of the reservation.
     """
 
     def __init__(
@@ -49,49 +49,60 @@
     ) -> None:
         self.context = context
         self.placement = placement
-        self.hearing = AnswerHearing(context)
-        self.made: tuple[Helper, ...] = ()
-        self._name = secrets.token_hex(_NAME_BYTES)
-        self._asked: list[tuple[EndpointRecord, int]] = []
-        self._renewing: asyncio.Task[None] | None = None
+        self.observer = AnswerObserver(context)
+        self.granted: tuple[Helper, ...] = ()
+        self._reservation_id = secrets.token_hex(_ID_BYTES)
+        self._requested: list[tuple[EndpointRecord, int]] = []
+        self._renewal: asyncio.Task[None] | None = None
 
-    async def make(self) -> None:
-        """Set the memory aside.
+    async def acquire(self) -> None:
+        """Reserve the memory at all helpers.
 
         Raises
         ------
         AttemptError
-            If an engine does not do so.
+            If a helper does not reserve it.
         """
-        by_name = {one.endpoint: one for one in self.placement.helpers}
-        self._asked = [
-            (by_name[name], tokens)
+        helpers = {one.endpoint: one for one in self.placement.helpers}
+        self._requested = [
+            (helpers[name], tokens)
             for name, tokens in self.placement.plan.stored
         ]
         if not all(await self._reserve_all()):
-            raise AttemptError(AttemptEnd.NOT_SENT, 'memory not set aside')
-        self.made = tuple(
-            Helper(record.address, self._name) for record, _ in self._asked
+            raise AttemptError(
+                AttemptEnd.NOT_SENT,
+                'a helper did not reserve memory',
+            )
+        self.granted = tuple(
+            Helper(record.address, self._reservation_id)
+            for record, _ in self._requested
         )
-        self._renewing = asyncio.create_task(self._renew())
+        self._renewal = asyncio.create_task(self._renew())
 
     def release(self) -> None:
-        """Give the memory back, in a task of its own."""
-        if self._renewing is not None:
-            self._renewing.cancel()
-        order = self.context.wire.release(self._name)
-        for record, _ in self._asked:
+        """Release the memory in background tasks."""
+        if self._renewal is not None:
+            self._renewal.cancel()
+        order = self.context.wire.release(self._reservation_id)
+        for record, _ in self._requested:
             task = asyncio.create_task(self._release(record, order))
             self.context.background.add(task)
             task.add_done_callback(self.context.background.discard)
 
     async def _reserve_all(self) -> list[bool]:
         return await asyncio.gather(
-            *(self._reserve(record, tokens) for record, tokens in self._asked),
+            *(
+                self._reserve(record, tokens)
+                for record, tokens in self._requested
+            ),
         )
 
     async def _reserve(self, record: EndpointRecord, tokens: int) -> bool:
-        order = self.context.wire.reserve(self._name, tokens, HOLD_SECONDS)
+        order = self.context.wire.reserve(
+            self._reservation_id,
+            tokens,
+            LEASE_SECONDS,
+        )
         return await self._send(record, order) == _HTTP_OK
 
     async def _renew(self) -> None:
@@ -100,17 +111,17 @@
             await self._reserve_all()
 
     async def _release(self, record: EndpointRecord, order: Order) -> None:
-        for _ in range(_RELEASE_TRIES):
+        for _ in range(_RELEASE_ATTEMPTS):
             if await self._send(record, order) == _HTTP_OK:
                 return
         self.context.log.warning(
             'memory_not_released',
             endpoint=record.endpoint,
-            reservation=self._name,
+            reservation=self._reservation_id,
         )
 
     async def _send(self, record: EndpointRecord, order: Order) -> int:
-        """Return the status of the answer; 0 if there was none."""
+        """Send an order; return the status of the answer, 0 without one."""
         headers = HTTPHeaders(
             {
                 'Host': record.address,
@@ -121,9 +132,9 @@
         start = RequestStartLine('POST', order.path, 'HTTP/1.1')
         self.context.dispatcher.order_sent(record)
         try:
-            async with asyncio.timeout(ORDER_SECONDS):
+            async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
                 channel = await self.context.pool.take(record, fresh=False)
-                head = await _ask(channel, start, headers, order.body)
+                head = await _request_head(channel, start, headers, order.body)
         except (AttemptError, TimeoutError) as error:
             self.context.log.info(
                 'order_unanswered',
@@ -131,11 +142,11 @@
                 reason=str(error),
             )
             return 0
-        self.hearing.order_answered(record, head)
+        self.observer.observe_order_answer(record, head)
         return head.status
 
 
-async def _ask(
+async def _request_head(
     channel: EndpointChannel,
     start: RequestStartLine,
     headers: HTTPHeaders,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
@@ -1,4 +1,4 @@
-"""Ends an attempt at an endpoint that sends nothing for too long."""
+"""Ends an attempt if its endpoint sends nothing for too long."""
 
 import asyncio
 import math
@@ -13,54 +13,56 @@
 from .channel import EndpointChannel
 
 _MS = 1000.0
-#: Time without a first event after which a request is tried elsewhere, in
-#: multiples of the estimate and beyond it in seconds. An engine that hangs is
-#: found out this way; estimates are off by less than a factor of two.
-_FIRST_FACTOR = 2.5
-_FIRST_EXTRA = 0.7
-#: Time without a first event after which a short turn is tried elsewhere, in
-#: seconds. It stands behind a long read that was not foreseen; callers give
-#: up after two seconds, and to read it again takes some 30 ms.
-_TURN_PATIENCE = 0.8
-#: Part of the time limit for which a long prompt waits where it is, unless it
-#: is overdue, soon read, and another engine keeps its promise: it is read from
-#: the start there, and in an overload there is no engine that would be faster.
-_LONG_PART = 0.45
-#: Reading time up to which a long prompt that is overdue may leave sooner, in
-#: milliseconds: a second reading of longer ones takes seconds of engines that
-#: are full when many prompts are late.
-_CHEAP_READ_MS = 500.0
-#: Time until it is looked again whether a turn is better off elsewhere.
-_LOOK_AGAIN = 0.15
-#: Time between events after which a stream is resumed elsewhere, in multiples
-#: of the promised pause and at least in seconds. Callers give up after two
-#: seconds, and another engine has to read the prompt again before that.
+#: Timeout of the first event, as a multiple of the estimate and an addition in
+#: seconds. It detects an engine that hangs; the errors of estimates are below a
+#: factor of two.
+_FIRST_EVENT_FACTOR = 2.5
+_FIRST_EVENT_EXTRA_SECONDS = 0.7
+#: Timeout of the first event of a short request, in seconds. Such a request is
+#: late if it waits behind a long prompt that was not predicted. Callers cancel
+#: after two seconds, and another engine reads the prompt in about 30 ms.
+_SHORT_REQUEST_TIMEOUT_SECONDS = 0.8
+#: Share of the time limit for which a long prompt stays at its engine. It moves
+#: sooner only if it is overdue, is quick to read, and another engine can meet
+#: the objective. Another engine reads the prompt from the start, and in an
+#: overload no engine is faster.
+_LONG_TIMEOUT_SHARE = 0.45
+#: Longest reading time of an overdue long prompt that may move sooner, in
+#: milliseconds. Reading a longer prompt again takes seconds of engine time, and
+#: engines are full when many prompts are late.
+_MAX_REREAD_MS = 500.0
+#: Interval of the checks whether a late request should move, in seconds.
+_RECHECK_SECONDS = 0.15
+#: Pause between events after which a stream is resumed elsewhere, as a multiple
+#: of the pause objective and with a minimum in seconds. Callers cancel after
+#: two seconds, and another engine must read the prompt again before that.
 _PAUSE_FACTOR = 3.5
-_LEAST_PAUSE = 0.9
-#: Part of the time left after which an idempotent call is tried elsewhere.
-_PLAIN_PART = 0.4
-#: Time since the first event within which a request has just begun to run, in
+_MIN_PAUSE_SECONDS = 0.9
+#: Share of the remaining time after which an idempotent call is retried.
+_PLAIN_TIMEOUT_SHARE = 0.4
+#: Time since the first event within which a request counts as just begun, in
 #: seconds.
 _JUST_BEGUN_SECONDS = 1.0
 
 
 class SilenceWatch:
-    """Watches the answer of one attempt.
+    """Watches the answer of one attempt for silence.
 
     Parameters
     ----------
     may_move
         Whether another endpoint may run the request after this one. If not,
-        an endpoint's silence ends nothing: its answer may still come.
+        silence does not end the attempt, as the answer may still arrive.
 
     Attributes
     ----------
-    is_turn
-        Whether the request is a short turn to a model.
+    is_short
+        Whether the request is a short request to a model.
     first_event_at
-        When anything came first, on the monotonic clock; None before that.
+        Time of the first event, on the monotonic clock; None before it.
     last_event_at
-        When anything came last, on the monotonic clock.
+        Time of the last event, on the monotonic clock. Before the first event,
+        the time at which the request was sent.
     """
 
     def __init__(
@@ -77,29 +79,29 @@
         self.may_move = may_move
         costs = call.service.engine
         tokens = call.terms.prompt_tokens
-        self.is_turn = costs is not None and is_turn(costs, tokens)
+        self.is_short = costs is not None and is_turn(costs, tokens)
         self.first_event_at: float | None = None
         self.last_event_at = context.clock.monotonic()
 
     @property
     def is_endpoint_alive(self) -> bool:
-        """Whether the endpoint has sent this entry anything meanwhile."""
+        """Whether the endpoint was active since the last event."""
         return self._alive_at >= self.last_event_at
 
     @property
     def has_event(self) -> bool:
-        """Whether the first event has come."""
+        """Whether the first event has arrived."""
         return self.first_event_at is not None
 
     @property
     def had_just_begun(self) -> bool:
-        """Whether the request has run for a moment at most."""
+        """Whether the request has run for a short time at most."""
         if self.first_event_at is None:
             return True
         return self._now() - self.first_event_at < _JUST_BEGUN_SECONDS
 
-    def event(self) -> bool:
-        """Note that something came; return whether it was the first."""
+    def record_event(self) -> bool:
+        """Record an event; return whether it is the first."""
         self.last_event_at = self._now()
         is_first = not self.has_event
         if is_first:
@@ -107,31 +109,33 @@
         return is_first
 
     async def run(self, channel: EndpointChannel) -> None:
-        """Close a channel on which nothing comes for too long.
+        """Close the channel once it has been silent for too long.
 
-        What goes wrong otherwise: an endpoint hangs or its connection falls
-        silent, and the caller waits until its deadline although others could
+        Without this, the caller of an endpoint that hangs, or whose connection
+        is broken, waits until its deadline although another endpoint could
         have answered.
         """
         while True:
-            left = self._heard_at() + self._patience() - self._now()
-            if left <= 0 and self._is_to_move():
+            left = (
+                self._last_activity_at() + self._timeout_seconds() - self._now()
+            )
+            if left <= 0 and self._should_move():
                 channel.close()
                 return
-            await asyncio.sleep(max(left, _LOOK_AGAIN))
+            await asyncio.sleep(max(left, _RECHECK_SECONDS))
 
-    def _is_to_move(self) -> bool:
-        return self._can_go_elsewhere() and self._is_better_elsewhere()
+    def _should_move(self) -> bool:
+        return self._may_retry() and self._is_sooner_elsewhere()
 
-    def _can_go_elsewhere(self) -> bool:
-        """Return whether the operator's bound leaves a repeat, if it matters.
+    def _may_retry(self) -> bool:
+        """Return whether the retry allowance permits to end the attempt.
 
-        What goes wrong otherwise: in a large fleet an entry's part of the
-        bound is three repeats and a fifth of its requests in ten seconds.
-        Once they are used up, a prompt that is taken from a late engine has
-        nowhere to go, and its caller loses an answer that was to come. Plain
-        calls, and streams that stop midway, are ended all the same: their
-        endpoints are most likely dead, and the caller may ask again.
+        In a large fleet, the share of an entry in the operator's limit is three
+        retries and a fifth of its requests in ten seconds. Once they are used
+        up, a prompt that is cancelled at a late engine cannot be sent to
+        another engine, and its caller loses an answer that was on its way.
+        Plain calls and streams that have begun are ended in any case: their
+        endpoints are most likely dead, and the caller may retry.
         """
         service = self.call.service
         if self.has_event or service.engine is None:
@@ -139,33 +143,33 @@
         allowance = self.context.allowance(service.service)
         return allowance.has_room(self._now(), self.context.entries)
 
-    def _is_better_elsewhere(self) -> bool:
+    def _is_sooner_elsewhere(self) -> bool:
         """Return whether another endpoint would answer sooner.
 
-        What goes wrong otherwise: all engines are busy for a second, every
-        turn is taken from one and given to another, each is read twice, and
-        the second becomes ten.
+        Without this, when all engines are busy for a second, every short
+        request moves from one engine to another and is read twice, so that the
+        overload lasts ten seconds.
         """
         costs = self.call.service.engine
         if costs is None or self.has_event:
             return True
-        if self.is_turn:
-            return self._elsewhere_ms(costs) < self.call.route.objective * _MS
+        if self.is_short:
+            return self._alternative_ms(costs) < self.call.route.objective * _MS
         if self._has_waited_long():
             return True
         tokens = self.call.terms.prompt_tokens
-        if costs.read_ms(tokens) > _CHEAP_READ_MS:
+        if costs.read_ms(tokens) > _MAX_REREAD_MS:
             return False
         left_ms = (self.call.objective_at - self._now()) * _MS
-        return self._is_overdue(costs) and self._elsewhere_ms(costs) < left_ms
+        return self._is_overdue(costs) and self._alternative_ms(costs) < left_ms
 
     def _has_waited_long(self) -> bool:
-        """Return whether a long prompt is to leave whatever explains it."""
+        """Return whether a long prompt moves whatever causes its delay."""
         home = self.placement.home.endpoint
         if self.context.dispatcher.failures.is_doubtful(home):
             return True
-        patience = self.call.route.time_limit * _LONG_PART
-        return self._now() - self._heard_at() >= patience
+        timeout = self.call.route.time_limit * _LONG_TIMEOUT_SHARE
+        return self._now() - self._last_activity_at() >= timeout
 
     def _is_overdue(self, costs: EngineCosts) -> bool:
         return is_overdue(
@@ -176,8 +180,8 @@
             self._now(),
         )
 
-    def _elsewhere_ms(self, costs: EngineCosts) -> float:
-        """Return when another engine would begin the answer."""
+    def _alternative_ms(self, costs: EngineCosts) -> float:
+        """Return the time to the first event at another engine, in ms."""
         other = self.context.dispatcher.place_model(
             self.call.service,
             costs,
@@ -188,41 +192,44 @@
 
     @property
     def _alive_at(self) -> float:
-        """Return when the endpoint last sent this entry anything."""
+        """Return when the endpoint last sent this entry an event."""
         home = self.placement.home.endpoint
         failures = self.context.dispatcher.failures
         return failures.alive_at.get(home, 0)
 
-    def _heard_at(self) -> float:
-        """Return the last sign that the answer is on its way.
+    def _last_activity_at(self) -> float:
+        """Return the time of the last activity that counts for the request.
 
-        Before the first event of a long prompt, any sign of life of the
-        engine counts: one that is busy with others is no faster elsewhere,
-        and the reading that it has done would be lost.
+        Before the first event of a long prompt, events of other requests at
+        the engine count as well: the engine is busy with them, another engine
+        would not be faster, and the part that has been read would be lost.
         """
         is_plain = not self.call.route.kind.is_stream
-        if self.has_event or self.is_turn or is_plain:
+        if self.has_event or self.is_short or is_plain:
             return self.last_event_at
         return max(self.last_event_at, self._alive_at)
 
-    def _patience(self) -> float:
-        """Return for how long nothing may come, in seconds."""
+    def _timeout_seconds(self) -> float:
+        """Return the longest permitted silence, in seconds."""
         left = max(0, self.call.limit - self._now())
         if not self.may_move:
             return left + 1
         if not self.call.route.kind.is_stream:
-            return left * _PLAIN_PART
+            return left * _PLAIN_TIMEOUT_SHARE
         if self.has_event:
-            promised = self.call.route.pause_objective
-            return max(_LEAST_PAUSE, promised * _PAUSE_FACTOR)
-        return self._first_patience()
+            objective = self.call.route.pause_objective
+            return max(_MIN_PAUSE_SECONDS, objective * _PAUSE_FACTOR)
+        return self._first_event_timeout_seconds()
 
-    def _first_patience(self) -> float:
-        """Return for how long the first event of a stream may take."""
+    def _first_event_timeout_seconds(self) -> float:
+        """Return the timeout of the first event of a stream, in seconds."""
         expected = self.placement.plan.expected_ms / _MS
-        if self.is_turn:
-            return max(_TURN_PATIENCE, expected + _TURN_PATIENCE / 2)
-        return expected * _FIRST_FACTOR + _FIRST_EXTRA
+        if self.is_short:
+            return max(
+                _SHORT_REQUEST_TIMEOUT_SECONDS,
+                expected + _SHORT_REQUEST_TIMEOUT_SECONDS / 2,
+            )
+        return expected * _FIRST_EVENT_FACTOR + _FIRST_EVENT_EXTRA_SECONDS
 
     def _now(self) -> float:
         return self.context.clock.monotonic()
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/unknown_headers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/unknown_headers.py
@@ -1,7 +1,7 @@
-"""Headers of answers whose meaning is not known.
+"""Counts and logs the headers of answers that the entry does not know.
 
-What goes wrong otherwise: endpoints begin to say something new, such as that
-they leave, which is handed on and leaves no trace.
+Without this, a new header of endpoints, such as a notice that they leave, would
+be forwarded without any trace in logs or metrics.
 """
 
 from collections.abc import Iterable
@@ -11,18 +11,19 @@
 
 from ..metrics import ForwardingMetrics
 
-#: Names that are told apart at most: a faulty endpoint may send any.
-MOST_NAMES = 30
-_OTHERS = 'others'
+#: Largest number of names that are counted separately. A faulty endpoint may
+#: send any number of names.
+MAX_NAMES = 30
+_OTHERS_LABEL = 'others'
 
 
 class UnknownHeaders:
-    """Counts them by their name, and logs each name once.
+    """Counts unknown headers by name and logs each name once.
 
     Attributes
     ----------
     names
-        Those that were logged.
+        Names that have been logged.
     """
 
     def __init__(self, metrics: ForwardingMetrics, log: Log) -> None:
@@ -30,17 +31,17 @@
         self.log = log
         self.names: set[str] = set()
 
-    def note(self, names: Iterable[str], endpoint: EndpointId) -> None:
-        """Note the unknown headers of one answer."""
+    def record(self, names: Iterable[str], endpoint: EndpointId) -> None:
+        """Record the unknown headers of one answer."""
         for name in names:
             self.metrics.unknown_headers.add(self._label(name, endpoint))
 
     def _label(self, name: str, endpoint: EndpointId) -> str:
-        """Return by what a header is counted; log it if it is new."""
+        """Return the label that counts a header; log a new name."""
         if name in self.names:
             return name
-        if len(self.names) >= MOST_NAMES:
-            return _OTHERS
+        if len(self.names) >= MAX_NAMES:
+            return _OTHERS_LABEL
         self.names.add(name)
         self.log.warning('header_unknown', name=name, endpoint=endpoint)
         return name
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/__init__.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration and endpoints, as the platform has them."""
+"""Configuration and endpoints, as published by the platform."""
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/feed.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/feed.py
@@ -1,4 +1,4 @@
-"""What the forwarding entry reads from the platform, whatever its format."""
+"""What the forwarding entry reads from the platform, in any format."""
 
 import abc
 from typing import NewType
@@ -12,19 +12,19 @@
 Revision = NewType('Revision', int)
 
 
-#: Rises each time the platform comes back from an older copy of itself: what
-#: it had acknowledged since is gone, and its revisions are given out again.
+#: Counts how often the platform was restored from an older copy of itself. All
+#: later changes are then lost, and their revisions are assigned again.
 Epoch = NewType('Epoch', int)
-#: Of an answer that names none.
+#: Epoch of an answer that does not name one.
 UNKNOWN_EPOCH = Epoch(0)
 
 
 class HistoryLostError(PlatformError):
-    """The platform no longer has the changes after a revision."""
+    """The platform no longer has the changes after a given revision."""
 
 
 class FleetSnapshot(msgspec.Struct, frozen=True):
-    """All that the platform has, as of a revision."""
+    """The full state of the platform as of a revision."""
 
     revision: Revision
     published: PublishedTable | None
@@ -39,13 +39,13 @@
 
 
 class EndpointChanged(msgspec.Struct, frozen=True):
-    """An endpoint has registered, or says something new of itself."""
+    """An endpoint has registered or has updated its registration."""
 
     record: EndpointRecord
 
 
 class EndpointRemoved(msgspec.Struct, frozen=True):
-    """The registration of an endpoint is gone."""
+    """The registration of an endpoint has been removed."""
 
     endpoint: EndpointId
 
@@ -54,7 +54,7 @@
 
 
 class ChangeBatch(msgspec.Struct, frozen=True):
-    """Changes in order, and the revision up to which they go."""
+    """Changes in order, up to and including a revision."""
 
     revision: Revision
     changes: tuple[Change, ...] = ()
@@ -66,22 +66,22 @@
 
     @abc.abstractmethod
     async def snapshot(self) -> FleetSnapshot:
-        """Return all that the platform has now.
+        """Return the current full state of the platform.
 
         Raises
         ------
         PlatformError
-            If it cannot be read.
+            If the platform cannot be read.
         """
 
     @abc.abstractmethod
     def read_table(self, source: bytes) -> PublishedTable:
-        """Return the configuration in a document that a peer has sent.
+        """Parse a configuration document that a peer has sent.
 
         Raises
         ------
         PlatformError
-            If it cannot be read.
+            If the document cannot be read.
         """
 
     @abc.abstractmethod
@@ -90,12 +90,12 @@
         after: Revision,
         wait_seconds: float,
     ) -> ChangeBatch:
-        """Return what has changed; wait for a first change if there is none.
+        """Return the changes after a revision; wait for one if there is none.
 
         Raises
         ------
         HistoryLostError
-            If the changes after that revision cannot be had any more.
+            If the platform no longer has the changes after that revision.
         PlatformError
             If the platform cannot be read.
         """
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/keeper.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/keeper.py
@@ -1,11 +1,11 @@
 """Keeps the configuration and the list of endpoints up to date.
 
-What goes wrong: the platform is away, slow, or serves this entry nothing,
-while others see changes. What is in force never goes back to an older
-version, and what an entry has once seen of an endpoint's leaving binds it:
-in its registration, in an answer of its own, or by word of a peer.
-Nor does it believe a platform that has come back from an older copy what it
-knows to be over: revisions count within one epoch only.
+The platform may be unreachable or slow, or may not serve this entry while other
+entries see changes. The configuration in force therefore never returns to an
+older version. An endpoint that was reported to leave stays out of use, whether
+its registration, one of its answers or a peer reported it. If the platform is
+restored from an older copy, the entry does not restore endpoints that it knows
+to be gone: revisions are compared within one epoch only.
 """
 
 import asyncio
@@ -33,50 +33,51 @@
     TableChanged,
 )
 from .first_list import FirstList
-from .leaving import LeavingNews
+from .leaving import LeavingEndpoints
 from .read_pace import ReadPace
 from .restoration import Restoration
 
-#: Pauses after failed reads, in seconds: the first and the longest. The
-#: platform takes 2,000 reads a second from all entries together.
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 0.6
-#: Pause of an entry without a list after a failed read, in seconds: its callers
-#: are refused meanwhile, and a hundred such entries make 700 calls a second.
-UNLISTED_PAUSE = 0.15
-#: Time between looks for registrations that did not come back, in seconds.
-EXPIRE_SECONDS = 0.25
+#: Shortest and longest pause after failed reads, in seconds. The platform
+#: accepts 2,000 reads a second from all entries together.
+FIRST_PAUSE_SECONDS = 0.1
+MAX_PAUSE_SECONDS = 0.6
+#: Pause after a failed read while no endpoints are known, in seconds. The entry
+#: refuses its callers meanwhile. A hundred such entries make 700 calls a
+#: second.
+UNLISTED_PAUSE_SECONDS = 0.15
+#: Interval of the checks for expired registrations, in seconds.
+EXPIRE_INTERVAL_SECONDS = 0.25
 
 
 class FleetKeeper:
-    """Holds the table in force and the directory of endpoints.
+    """Maintains the table in force and the directory of endpoints.
 
     Attributes
     ----------
     table
         The configuration in force; None before the first.
     confirmed_at
-        When the platform was last known to have nothing newer, on the
-        monotonic clock; None if it never was.
+        When the platform last confirmed that the state is current, on the
+        monotonic clock; None before the first confirmation.
     first_list
-        Asks for the first list of endpoints.
+        Fetches the first list of endpoints.
     pace
-        When the platform is asked again.
+        Limits how often the platform is read.
     leaving
         Endpoints that leave.
     restoration
-        Whether the platform has come back from an older copy.
+        Tracks whether the platform was restored from an older copy.
     """
 
     def __init__(
         self,
         feed: FleetFeed,
         clock: Clock,
-        pace: ReadPace | None = None,
+        read_limit: ReadPace | None = None,
     ) -> None:
         self.feed = feed
         self.clock = clock
-        self.pace = pace or ReadPace()
+        self.pace = read_limit or ReadPace()
         self.table: RoutingTable | None = None
         self.directory = EndpointDirectory()
         self.confirmed_at: float | None = None
@@ -84,7 +85,7 @@
         self.restoration = Restoration(clock)
         self.log = Log('fleet')
         self.published: PublishedTable | None = None
-        self.leaving = LeavingNews(self.directory, clock, self.log)
+        self.leaving = LeavingEndpoints(self.directory, clock, self.log)
         self._revision = Revision(0)
         self._failures = 0
 
@@ -95,12 +96,12 @@
 
     @property
     def version(self) -> SettingsVersion:
-        """Return the version in force, 0 before the first."""
+        """Return the settings version in force; 0 before the first."""
         return SettingsVersion(0) if self.table is None else self.table.version
 
     @property
     def age(self) -> float | None:
-        """Return the seconds since the last confirmation, if there was one."""
+        """Return the seconds since the last confirmation; None before it."""
         if self.confirmed_at is None:
             return None
         return round(self.clock.monotonic() - self.confirmed_at, 3)
@@ -110,14 +111,14 @@
         """Whether requests can be served."""
         return self.table is not None and bool(self.directory.records)
 
-    def offer_table(self, body: SettingsBody) -> None:
-        """Take a peer's configuration if it is newer."""
+    def apply_peer_table(self, body: SettingsBody) -> None:
+        """Apply the configuration of a peer if it is newer."""
         try:
             published = self.feed.read_table(unpack(body).body)
         except PlatformError as error:
             self.log.warning('table_of_peer_unreadable', reason=str(error))
             return
-        self._take_table(published, source='peer')
+        self._apply_table(published, source='peer')
 
     async def run(self) -> None:
         """Read and watch the platform until cancelled."""
@@ -127,39 +128,41 @@
                 await self.pace.gather()
 
     async def step(self) -> bool:
-        """Read the platform once; return whether it showed a change."""
+        """Read the platform once; return whether there was a change."""
         try:
             has_changed = await self._read()
         except HistoryLostError as error:
             self.log.warning('history_lost', reason=str(error))
             self._revision = Revision(0)
         except PlatformError as error:
-            await self._pause(error)
+            await self._pause_after_failure(error)
         else:
             return has_changed
         return False
 
     async def expire(self) -> None:
-        """Drop registrations that did not come back, until cancelled."""
+        """Drop expired registrations at intervals, until cancelled."""
         while True:
-            await asyncio.sleep(EXPIRE_SECONDS)
+            await asyncio.sleep(EXPIRE_INTERVAL_SECONDS)
             self.drop_expired()
 
     def drop_expired(self) -> None:
-        """Drop registrations that should have come back by now."""
+        """Drop registrations that were not renewed in time."""
         for endpoint in self.directory.expire(self.clock.monotonic()):
             self.log.info('endpoint_expired', endpoint=endpoint)
 
     async def _read(self) -> bool:
-        """Read what there is, or what changes next; return whether it did."""
+        """Read a snapshot or the next changes; return whether any came."""
         started = self.clock.monotonic()
         has_changed = False
         if self._revision == 0:
-            read = self.feed.snapshot if self.is_ready else self.first_list.ask
-            self._take_snapshot(await read())
+            read = (
+                self.feed.snapshot if self.is_ready else self.first_list.fetch
+            )
+            self._apply_snapshot(await read())
         else:
             has_changed = await self._watch()
-        self.first_list.note_answer(is_ready=self.is_ready)
+        self.first_list.record_answer(is_ready=self.is_ready)
         self.confirmed_at = started
         if self._failures:
             self.log.info('platform_regained', failures=self._failures)
@@ -167,39 +170,39 @@
         return has_changed
 
     async def _watch(self) -> bool:
-        """Wait for a first change; return whether one came."""
+        """Wait for a change; return whether one came."""
         seconds = self.pace.change_seconds
         batch = await self.feed.changes(self._revision, seconds)
-        is_restored = self.restoration.note(batch.epoch)
-        if is_restored or self.restoration.take_settled():
-            # Of what the batch leaves out nothing is known.
+        is_restored = self.restoration.record_epoch(batch.epoch)
+        if is_restored or self.restoration.pop_settled():
+            # The batch may lack changes, so that a full list is needed.
             self._revision = Revision(0)
             return False
         for change in batch.changes:
-            self._take(change)
+            self._apply_change(change)
         self._revision = max(self._revision, batch.revision)
         return bool(batch.changes)
 
-    async def _pause(self, error: PlatformError) -> None:
+    async def _pause_after_failure(self, error: PlatformError) -> None:
         self._failures += 1
         if self._failures == 1:
             self.log.warning('platform_lost', reason=str(error))
-        self.first_list.note_silence()
+        self.first_list.record_silence()
         if self.is_ready:
-            pause = FIRST_PAUSE * 2 ** min(self._failures - 1, 4)
-            await asyncio.sleep(min(pause, LONGEST_PAUSE))
+            pause = FIRST_PAUSE_SECONDS * 2 ** min(self._failures - 1, 4)
+            await asyncio.sleep(min(pause, MAX_PAUSE_SECONDS))
         else:
-            await asyncio.sleep(UNLISTED_PAUSE)
+            await asyncio.sleep(UNLISTED_PAUSE_SECONDS)
         if self._failures > 1:
-            # The connection answers nothing: registrations may have lapsed
-            # meanwhile, and only a whole list tells.
+            # Registrations may have lapsed during the outage, and only a
+            # full list shows it.
             self._revision = Revision(0)
 
-    def _take_snapshot(self, snapshot: FleetSnapshot) -> None:
-        self.restoration.note(snapshot.epoch)
+    def _apply_snapshot(self, snapshot: FleetSnapshot) -> None:
+        self.restoration.record_epoch(snapshot.epoch)
         is_old_copy = self.restoration.is_settling
         if snapshot.published is not None:
-            self._take_table(snapshot.published)
+            self._apply_table(snapshot.published)
         self.directory.replace(
             snapshot.endpoints,
             self.clock.monotonic(),
@@ -215,13 +218,13 @@
             is_old_copy=is_old_copy,
         )
 
-    def _take(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
         if isinstance(change, TableChanged):
-            self._take_table(change.published)
+            self._apply_table(change.published)
         elif isinstance(change, EndpointChanged):
             self.directory.put(change.record)
             if change.record.is_leaving:
-                self.leaving.registered(change.record.lifetime)
+                self.leaving.record(change.record.lifetime)
             self.log.info(
                 'endpoint_changed',
                 endpoint=change.record.endpoint,
@@ -233,7 +236,7 @@
             self.directory.remove(change.endpoint)
             self.log.info('endpoint_removed', endpoint=change.endpoint)
 
-    def _take_table(
+    def _apply_table(
         self,
         published: PublishedTable,
         source: str = 'platform',
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/leaving.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/leaving.py
@@ -1,8 +1,8 @@
-"""Endpoints that leave, by whoever says so, and what peers are told of them.
+"""Endpoints that leave, from any source, and the reports sent to peers.
 
-What goes wrong otherwise: an endpoint's registration cannot say that it leaves
-while the platform is away. It says so in its answers too, each of which only
-one entry gets.
+The registration of an endpoint cannot show that it leaves while the platform is
+unreachable. The endpoint therefore also reports it in its answers, and each
+answer reaches only one entry.
 """
 
 from collections import deque
@@ -13,13 +13,13 @@
 from sycamore_core.routing import EndpointDirectory, EndpointLifetime
 from sycamore_core.telemetry import Log
 
-#: How long peers are told of an endpoint that leaves, in seconds: three of
-#: the messages that name everything may be lost.
+#: How long peers are sent reports of an endpoint that leaves, in seconds. Three
+#: full updates in a row may be lost.
 LEAVING_SECONDS = 4.0
 
 
-class LeavingNews:
-    """Takes endpoints that leave out of use, and tells peers for a while."""
+class LeavingEndpoints:
+    """Takes leaving endpoints out of use and lists them for peers."""
 
     def __init__(
         self,
@@ -32,25 +32,25 @@
         self.log = log
         self._seen: deque[tuple[float, EndpointLifetime]] = deque()
 
-    def registered(self, lifetime: EndpointLifetime) -> None:
-        """Note a registration that says that its endpoint leaves."""
+    def record(self, lifetime: EndpointLifetime) -> None:
+        """Record an endpoint that leaves, to be reported to peers."""
         self._seen.append((self.clock.monotonic(), lifetime))
 
-    def said(self, lifetime: EndpointLifetime) -> bool:
-        """Take it that an endpoint leaves; return whether that is news."""
-        is_news = self.directory.mark_leaving(lifetime)
-        if is_news:
-            self.registered(lifetime)
-        return is_news
+    def mark_leaving(self, lifetime: EndpointLifetime) -> bool:
+        """Mark an endpoint as leaving; return whether this is new."""
+        is_new = self.directory.mark_leaving(lifetime)
+        if is_new:
+            self.record(lifetime)
+        return is_new
 
-    def hear(
+    def apply_peer_report(
         self,
         lifetimes: Iterable[EndpointLifetime],
         peer: EntryId,
     ) -> None:
-        """Take it from a peer that endpoints leave."""
+        """Apply a report of a peer that endpoints leave."""
         for lifetime in lifetimes:
-            if self.said(lifetime):
+            if self.mark_leaving(lifetime):
                 self.log.info(
                     'endpoint_leaving_by_peer',
                     endpoint=lifetime.endpoint,
@@ -58,15 +58,15 @@
                     peer=peer,
                 )
 
-    def lately(self) -> tuple[EndpointLifetime, ...]:
-        """Return the endpoints that peers are told of."""
+    def recent(self) -> tuple[EndpointLifetime, ...]:
+        """Return the endpoints that are currently reported to peers."""
         begin = self.clock.monotonic() - LEAVING_SECONDS
         while self._seen and self._seen[0][0] < begin:
             self._seen.popleft()
         return tuple(lifetime for _, lifetime in self._seen)
 
-    def everything(self) -> tuple[EndpointLifetime, ...]:
-        """Return the endpoints that a newcomer is told of."""
+    def all_known(self) -> tuple[EndpointLifetime, ...]:
+        """Return the endpoints that are reported to a new member."""
         records = self.directory.records.values()
         listed = (one.lifetime for one in records if one.is_leaving)
-        return tuple({*listed, *self.lately()})
+        return tuple({*listed, *self.recent()})
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/read_pace.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/read_pace.py
@@ -1,11 +1,11 @@
-"""When an entry asks the platform again.
+"""Limits how often an entry reads the platform.
 
-Load pattern: endpoints by the hundred register within some seconds, or leave
-one after the other. Each change ends the watch of every entry, and each watch
-counts as a call.
+Load pattern: hundreds of endpoints register within a few seconds, or leave one
+after another. Each change ends the watch of every entry, and each watch counts
+as a call.
 
-Without it: what the platform gives grows more slowly than the fleet, and it
-turns entries away once there are too many of them.
+The capacity of the platform grows more slowly than the fleet. Without this
+limit, it refuses entries once the fleet has too many of them.
 """
 
 import asyncio
@@ -13,62 +13,62 @@
 
 from ..settings import CHANGE_SECONDS
 
-#: Part of the time for a change for which an entry gathers what has changed
-#: before it asks again. What it learns that late is still in force in time
-#: where the next read fails once.
-_GATHER_PART = 0.25
-#: Calls a second that all entries make together while changes come one after
-#: the other. Operators pay for each; an endpoint that is known half a second
-#: later costs no caller anything.
+#: Share of `change_seconds` for which an entry gathers changes before the next
+#: read. A change is still in force in time if that read fails once.
+_GATHER_SHARE = 0.25
+#: Calls per second of all entries together while changes follow one another.
+#: Operators pay for each call, and learning of an endpoint half a second later
+#: has no effect on callers.
 _CALLS_PER_S = 35.0
 
 
 class ReadPace:
-    """How long watches wait, and pauses between them last.
+    """Sets the length of watches and of the pauses between them.
 
     Attributes
     ----------
     change_seconds
-        Time within which a change is to be in force. A watch waits as long
-        for one: a connection may fall silent for good, which only the end of
-        this time shows. Each watch counts as a call, so that it is not shorter.
+        Time within which a change must be in force, in seconds. A watch waits
+        this long for a change, as only its end shows that a connection has
+        gone silent. It is not shorter because each watch counts as a call.
     entries
-        Number of entries that watch the platform, this one included.
+        Number of entries that watch the platform, including this one.
     """
 
     def __init__(self, change_seconds: float = CHANGE_SECONDS) -> None:
         self.change_seconds = change_seconds
         self.entries = 1
-        self._is_behind = asyncio.Event()
+        self._is_pause_ended = asyncio.Event()
 
     @property
     def gather_seconds(self) -> float:
-        """Return for how long changes are gathered.
+        """Return for how long changes are gathered, in seconds.
 
         Examples
         --------
-        >>> pace = ReadPace(change_seconds=4)
-        >>> pace.entries = 7
-        >>> pace.gather_seconds
+        >>> limit = ReadPace(change_seconds=4)
+        >>> limit.entries = 7
+        >>> limit.gather_seconds
         0.2
-        >>> pace.entries = 350
-        >>> pace.gather_seconds
+        >>> limit.entries = 350
+        >>> limit.gather_seconds
         1.0
         """
-        longest = self.change_seconds * _GATHER_PART
+        longest = self.change_seconds * _GATHER_SHARE
         return min(longest, self.entries / _CALLS_PER_S)
 
-    def hurry(self) -> None:
-        """End a pause: a peer has a newer configuration.
+    def end_pause(self) -> None:
+        """End the pause because a peer has a newer configuration.
 
-        Entries pause at different moments. The first to see a configuration
-        tells the others, so that none of them learns of it later by its pause.
+        Entries pause at different times. The first entry that sees a
+        configuration reports it to the others, so that their pauses do not
+        delay it.
         """
-        self._is_behind.set()
+        self._is_pause_ended.set()
 
     async def gather(self) -> None:
-        """Let more changes come together, unless a peer has newer ones."""
-        self._is_behind.clear()
+        """Wait for more changes, unless a peer has a newer configuration."""
+        self._is_pause_ended.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.gather_seconds):
-                await self._is_behind.wait()
+                await self._is_pause_ended.wait()
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/restoration.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/restoration.py
@@ -1,22 +1,22 @@
-"""Notices that the platform has come back from an older copy of itself."""
+"""Detects that the platform was restored from an older copy of itself."""
 
 from sycamore_core.clock import Clock
 from sycamore_core.telemetry import Log
 
 from .feed import UNKNOWN_EPOCH, Epoch
 
-#: Time after such a return in which the copy may still list endpoints that are
-#: gone, in seconds: their registrations lapse within it.
+#: Time after a restoration in which the copy may still list endpoints that are
+#: gone, in seconds. Their registrations lapse within this time.
 SETTLE_SECONDS = 8.0
 
 
 class Restoration:
-    """The epoch of the platform, and whether it has just changed.
+    """Tracks the epoch of the platform and its recent change.
 
     Attributes
     ----------
     epoch
-        Of the latest answer that named one.
+        Epoch of the latest answer that named one.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -27,13 +27,13 @@
 
     @property
     def is_settling(self) -> bool:
-        """Whether the platform may still list what is gone."""
+        """Whether the platform may still list endpoints that are gone."""
         if self._restored_at is None:
             return False
         return self.clock.monotonic() - self._restored_at < SETTLE_SECONDS
 
-    def note(self, epoch: Epoch) -> bool:
-        """Take the epoch of an answer; return whether it is another one."""
+    def record_epoch(self, epoch: Epoch) -> bool:
+        """Record the epoch of an answer; return whether it has changed."""
         if epoch in {UNKNOWN_EPOCH, self.epoch}:
             return False
         known = self.epoch
@@ -44,8 +44,8 @@
         self.log.warning('platform_restored', epoch=epoch, known_epoch=known)
         return True
 
-    def take_settled(self) -> bool:
-        """Return once, after a return, that all is to be listed anew."""
+    def pop_settled(self) -> bool:
+        """Return True once after a restoration, when a full list is due."""
         if self._restored_at is None or self.is_settling:
             return False
         self._restored_at = None
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/__init__.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""What entries tell one another."""
+"""Gossip between entries: loads, failures and membership."""
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
@@ -1,10 +1,11 @@
-"""Entries tell one another what they have at which engines.
+"""Exchange of load updates between the entries of a fleet.
 
-Each tells its own cell at once where it has sent a request, on a beat what
-else has changed there, and all that it has once a second, so that a lost
-message is made good by then.
-Once a second it tells one entry of each other cell what its cell has. A
-newcomer finds the others through a few seeds and the entries that these name.
+An entry reports each request that it sends to its own cell at once. It reports
+other changes at intervals, and sends a full update once a second, which repairs
+the loss of earlier messages.
+Once a second it also sends a summary of its cell to one entry of each other
+cell. A new member discovers the others through a few seeds and the entries that
+the seeds name.
 """
 
 import time
@@ -42,37 +43,37 @@
 from ..crashes import CrashWatch
 from ..trials import FleetGrants, OwnGrants
 from .newer_settings import NewerSettings
-from .update_beat import UpdateBeat
+from .update_schedule import UpdateSchedule
 from .update_sender import UpdateSender
 from .updates import UpdateWriter
 
 
 class EntryMesh:
-    """One entry among the others.
+    """The exchange of one entry with its peers.
 
     Attributes
     ----------
     membership
         The other entries.
     writer
-        Writes what is told.
+        Builds the messages to peers.
     sender
-        Sends it.
+        Sends the messages to peers.
     newer_settings
-        Exchanges configurations.
+        Exchanges configurations with peers.
     crashes
-        Takes what others say of endpoints that crashed.
+        Applies reports of peers on endpoints that crashed.
     trials
-        Says which attempts try a request that is in doubt.
-    beat
-        When the others are told what has changed.
+        Grants the trials of suspect requests.
+    schedule
+        Decides when updates are sent.
     """
 
     def __init__(self, node: Node, context: ForwardingContext) -> None:
         self.node = node
         self.context = context
         self.clock: Clock = context.clock
-        self.book: LoadBook = context.dispatcher.book
+        self.registry: LoadBook = context.dispatcher.book
         self.keeper = context.keeper
         self.membership = Membership(
             node.address.advertise,
@@ -87,23 +88,23 @@
             node,
             self.membership,
         )
-        self.beat = UpdateBeat(
+        self.schedule = UpdateSchedule(
             context.dispatcher.has_sent,
             self.membership,
             context.clock,
         )
-        self._takers: dict[type[Message], Callable[[Peer, Any], None]] = {
-            LoadUpdate: self._hear,
-            CellSummary: self._hear_cell,
+        self._handlers: dict[type[Message], Callable[[Peer, Any], None]] = {
+            LoadUpdate: self._handle_update,
+            CellSummary: self._handle_summary,
             SettingsWanted: self.newer_settings.answer,
-            SettingsBody: self.newer_settings.take,
+            SettingsBody: self.newer_settings.apply,
             TrialWanted: self.trials.answer,
             TrialAnswer: self.trials.take,
         }
         self.log = Log('mesh')
         self._incarnations: dict[str, Incarnation] = {}
-        self._next_whole: float = 0
-        self._told: tuple[object, ...] = ()
+        self._next_full_at: float = 0
+        self._last_sent: tuple[object, ...] = ()
         node.serve_peer = self.serve
 
     @classmethod
@@ -112,7 +113,7 @@
         keys: PeerKeys,
         context: ForwardingContext,
     ) -> Self:
-        """Return the mesh of an entry that listens where its settings say."""
+        """Return the mesh of an entry, at the address in its settings."""
         settings = context.settings
         address = f'tcp://{settings.peers}'
         codec = PacketCodec(
@@ -125,87 +126,87 @@
         return cls(node, context)
 
     def start(self) -> None:
-        """Listen, and greet the seeds."""
+        """Listen for peers and introduce this entry to the seeds."""
         self.context.trials = self.trials
         try:
             self.node.start()
         except TransportError as error:
-            # Without it the entry serves on its own knowledge alone.
+            # The entry goes on without peers, on its own state alone.
             self.log.error('mesh_closed', reason=str(error))
         self.meet_seeds()
 
     def meet_seeds(self) -> None:
-        """Greet the entries that the settings name and that do not live.
+        """Introduce this entry to the seeds that are not known to be alive.
 
-        They may still be down, or have been when this entry started.
+        A seed may be down, or may have been down when this entry started.
         """
         now = self.clock.monotonic()
         seeds = self.context.settings.seeds
         for seed in self.membership.missing(seeds):
-            self.sender.greet(seed, now)
+            self.sender.introduce(seed, now)
 
     async def run(self) -> None:
-        """Tell the peers what changes, until cancelled."""
+        """Send updates to the peers, until cancelled."""
         while True:
-            await self.beat.wait()
+            await self.schedule.wait()
             now = self.clock.monotonic()
             self.trials.runs(now)
-            changed = self.book.take_changed()
-            if now >= self._next_whole or self._has_news():
-                self._next_whole = now + WHOLE_SECONDS
-                self._look_around(now)
+            changed = self.registry.take_changed()
+            if now >= self._next_full_at or self._has_changed():
+                self._next_full_at = now + WHOLE_SECONDS
+                self._update_membership(now)
                 self.meet_seeds()
-                self.sender.everything(now)
-                self.beat.told(now)
+                self.sender.send_full(now)
+                self.schedule.record_update(now)
             elif changed:
-                self.sender.changes(changed, now)
-                self.beat.told(now)
+                self.sender.send_changes(changed, now)
+                self.schedule.record_update(now)
 
     async def serve(self, peer: Peer) -> None:
-        """Take what one peer says, until cancelled."""
+        """Handle the messages of one peer, until cancelled."""
         while True:
-            self._take(peer, await peer.inbound.get())
+            self._handle(peer, await peer.inbound.get())
 
-    def _take(self, peer: Peer, message: Message) -> None:
+    def _handle(self, peer: Peer, message: Message) -> None:
         if isinstance(message, CompressedMessage):
-            message = self._restored(message)
-        take = self._takers.get(type(message))
-        if take is not None:
-            take(peer, message)
+            message = self._decompress(message)
+        handler = self._handlers.get(type(message))
+        if handler is not None:
+            handler(peer, message)
 
-    def _restored(self, message: CompressedMessage) -> Message:
+    def _decompress(self, message: CompressedMessage) -> Message:
         try:
             return restore(message)
         except CodecError as error:
-            # Taken for a lost message: what it said is repeated in a second.
+            # Treated as a lost message; a full update follows in a second.
             self.log.warning('update_unreadable', reason=str(error))
             return message
 
-    def _has_news(self) -> bool:
-        """Return whether peers should know more than loads at once."""
-        news = (self.keeper.version, self.keeper.leaving.lately())
-        is_new = news != self._told
-        self._told = news
+    def _has_changed(self) -> bool:
+        """Return whether anything but loads must be sent at once."""
+        current = (self.keeper.version, self.keeper.leaving.recent())
+        is_new = current != self._last_sent
+        self._last_sent = current
         return is_new
 
-    def _hear(self, peer: Peer, update: LoadUpdate) -> None:
+    def _handle_update(self, peer: Peer, update: LoadUpdate) -> None:
         now = self.clock.monotonic()
-        self._note(peer, update, now)
+        self._record_peer(peer, update, now)
         self.crashes.hear(update.crashes, update.entry)
-        self._hear_limits(PeerId(update.entry), update.limits, now)
-        self._answer_newcomer(peer, update, now)
-        self.book.hear(
+        self._apply_limits(PeerId(update.entry), update.limits, now)
+        self._introduce_to_new_peer(peer, update, now)
+        self.registry.hear(
             PeerId(update.entry),
             update.shares,
             now,
             is_whole=update.is_whole,
             turns_per_s=update.turns_per_s,
         )
-        self._hear_failing(update, now)
+        self._apply_failing(update, now)
         for cell in update.members:
-            self._learn(cell, now)
+            self._add_members(cell, now)
 
-    def _hear_failing(self, update: LoadUpdate, now: float) -> None:
+    def _apply_failing(self, update: LoadUpdate, now: float) -> None:
         failures = self.context.dispatcher.failures
         for endpoint in failures.hear(update.failing, now):
             self.log.info(
@@ -214,13 +215,13 @@
                 peer=update.entry,
             )
 
-    def _hear_limits(
+    def _apply_limits(
         self,
         source: PeerId,
         reports: tuple[LimitReport, ...],
         now: float,
     ) -> None:
-        """Take it from an entry, or a cell, what it sent where."""
+        """Apply the sends that an entry or a cell reports by endpoint."""
         limits = self.context.dispatcher.limits
         for lifetime in limits.hear(source, reports, now):
             self.log.info(
@@ -230,57 +231,57 @@
                 source=source,
             )
 
-    def _hear_cell(self, peer: Peer, summary: CellSummary) -> None:
+    def _handle_summary(self, peer: Peer, summary: CellSummary) -> None:
         now = self.clock.monotonic()
-        self._note(peer, summary, now)
+        self._record_peer(peer, summary, now)
         self.crashes.hear(summary.crashes, summary.entry)
-        self._hear_limits(PeerId(summary.zone), summary.limits, now)
+        self._apply_limits(PeerId(summary.zone), summary.limits, now)
         self.membership.vouch(summary.zone, summary.members, now)
         if not self.membership.is_near(summary.zone):
-            self.book.hear_cell(
+            self.registry.hear_cell(
                 summary.zone,
                 summary.shares,
                 now,
                 summary.turns_per_s,
             )
         for contact in summary.contacts:
-            self._learn(contact, now)
+            self._add_members(contact, now)
 
-    def _note(
+    def _record_peer(
         self,
         peer: Peer,
         message: LoadUpdate | CellSummary,
         now: float,
     ) -> None:
-        """Note that a peer lives, and its news."""
+        """Record that a peer is alive, and apply its reports."""
         name = PeerId(message.entry)
         if self.membership.hear(peer.address, message.zone, name, now):
             self.log.info('peer_found', peer=name, address=peer.address)
             self.trials.met(now)
         self.context.peer_heard_at = now
-        self.keeper.leaving.hear(message.leaving, message.entry)
+        self.keeper.leaving.apply_peer_report(message.leaving, message.entry)
         self.newer_settings.compare(peer, message.settings_version)
 
-    def _learn(self, cell: CellMembers, now: float) -> None:
-        """Take in whom a peer knows, and greet those of the own cell."""
+    def _add_members(self, cell: CellMembers, now: float) -> None:
+        """Add the members that a peer names; contact those of this cell."""
         known = self.membership.members.keys()
-        found = set(cell.addresses).difference(known)
-        found.discard(self.membership.address)
-        self.membership.learn(cell.zone, found, now)
+        added = set(cell.addresses).difference(known)
+        added.discard(self.membership.address)
+        self.membership.learn(cell.zone, added, now)
         if self.membership.is_near(cell.zone):
-            for address in sorted(found):
-                self.sender.greet(address, now)
+            for address in sorted(added):
+                self.sender.introduce(address, now)
 
-    def _answer_newcomer(
+    def _introduce_to_new_peer(
         self,
         peer: Peer,
         update: LoadUpdate,
         now: float,
     ) -> None:
-        """Tell a peer that has started anew all that this entry has.
+        """Send the full state of this entry to a new or restarted peer.
 
-        What goes wrong otherwise: it places by its own work alone until the
-        next update that names everything, and fills engines that are full.
+        Without this, the peer places requests by its own load alone until the
+        next full update, and overloads engines that are full.
         """
         incarnation = peer.ages.incarnation
         is_new = self._incarnations.get(peer.address) != incarnation
@@ -289,10 +290,10 @@
         if update.is_greeting or (is_new and is_near):
             peer.post(self.writer.introduction(now))
 
-    def _look_around(self, now: float) -> None:
-        """Bring up to date who lives, and which cells there are."""
+    def _update_membership(self, now: float) -> None:
+        """Expire silent members and update the number of entries and cells."""
         for lost in self.membership.expire(now):
-            self.book.forget(lost.name)
+            self.registry.forget(lost.name)
             self.log.warning(
                 'peer_lost',
                 peer=lost.name,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/newer_settings.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/newer_settings.py
@@ -1,4 +1,4 @@
-"""Asks peers for a configuration that the platform does not show here."""
+"""Fetches from peers a configuration that the platform does not show."""
 
 import asyncio
 
@@ -8,34 +8,34 @@
 
 from ..fleet.keeper import FleetKeeper
 
-#: How long a peer may have a newer configuration before it is asked for it,
-#: in seconds. The platform shows a change within some ten milliseconds.
-BEHIND_SECONDS = 0.15
+#: How long a peer may have a newer configuration before it is requested, in
+#: seconds. The platform shows a change within some ten milliseconds.
+REQUEST_DELAY_SECONDS = 0.15
 
 
 class NewerSettings:
     """Exchanges configurations with peers.
 
-    What goes wrong otherwise: the platform turns one entry away, which goes
-    on serving routes and keys that are gone.
+    Without this, an entry that the platform refuses goes on serving routes and
+    keys that have been removed.
     """
 
     def __init__(self, keeper: FleetKeeper) -> None:
         self.keeper = keeper
-        self._asked_for = 0
+        self._requested_version = 0
 
     def compare(self, peer: Peer, version: int) -> None:
-        """Ask for a configuration that a peer has, if it stays newer.
+        """Request the configuration of a peer if it stays newer.
 
-        The platform shows a change to all within milliseconds, so that a
-        peer is asked only if it has been ahead for a moment.
+        The platform shows a change to all entries within milliseconds, so that
+        the request is sent only after a short delay.
         """
-        if version <= max(self.keeper.version, self._asked_for):
+        if version <= max(self.keeper.version, self._requested_version):
             return
-        self.keeper.pace.hurry()
-        self._asked_for = version
+        self.keeper.pace.end_pause()
+        self._requested_version = version
         loop = asyncio.get_running_loop()
-        loop.call_later(BEHIND_SECONDS, self._ask, peer, version)
+        loop.call_later(REQUEST_DELAY_SECONDS, self._request, peer, version)
 
     def answer(self, peer: Peer, wanted: SettingsWanted) -> None:
         """Send the configuration in force, if it is newer than the peer's."""
@@ -45,11 +45,11 @@
         settings = PublishedSettings(self.keeper.version, published.source)
         peer.post(pack(settings))
 
-    def take(self, peer: Peer, body: SettingsBody) -> None:
-        """Take a configuration that a peer has sent."""
-        self.keeper.offer_table(body)
+    def apply(self, peer: Peer, body: SettingsBody) -> None:
+        """Apply a configuration that a peer has sent."""
+        self.keeper.apply_peer_table(body)
 
-    def _ask(self, peer: Peer, version: int) -> None:
-        self._asked_for = 0
+    def _request(self, peer: Peer, version: int) -> None:
+        self._requested_version = 0
         if version > self.keeper.version:
             peer.post(SettingsWanted(above=self.keeper.version))
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_beat.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_schedule.py
@@ -1,4 +1,4 @@
-"""Waits until an entry tells the others what has changed."""
+"""Decides when an entry sends updates to its cell."""
 
 import asyncio
 import contextlib
@@ -8,13 +8,13 @@
 from sycamore_core.membership import Membership
 
 
-class UpdateBeat:
-    """The moments at which one entry tells its cell something.
+class UpdateSchedule:
+    """The times at which one entry sends updates to its cell.
 
     Parameters
     ----------
     has_sent
-        Set when a request has been sent, of which the others are told at once.
+        Set when a request has been sent, which is reported at once.
     """
 
     def __init__(
@@ -26,25 +26,25 @@
         self.has_sent = has_sent
         self.membership = membership
         self.clock = clock
-        self.pace = UpdatePace()
+        self.rate_limit = UpdatePace()
 
     async def wait(self) -> None:
-        """Wait until a request is sent, or else until the next beat."""
-        pause = self.pace.beat_seconds(self.clock.monotonic())
+        """Wait until a request is sent or the regular interval ends."""
+        pause = self.rate_limit.beat_seconds(self.clock.monotonic())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(pause or TELL_SECONDS):
                 await self.has_sent.wait()
-                await asyncio.sleep(self._urgent_seconds())
+                await asyncio.sleep(self._urgent_wait_seconds())
         self.has_sent.clear()
 
-    def told(self, now: float) -> None:
-        """Note that the cell was told something."""
-        self.pace.told(self._peers, now)
+    def record_update(self, now: float) -> None:
+        """Record that an update was sent to the cell."""
+        self.rate_limit.told(self._peer_count, now)
 
     @property
-    def _peers(self) -> int:
+    def _peer_count(self) -> int:
         return len(self.membership.near())
 
-    def _urgent_seconds(self) -> float:
+    def _urgent_wait_seconds(self) -> float:
         now = self.clock.monotonic()
-        return self.pace.urgent_seconds(self._peers, now)
+        return self.rate_limit.urgent_seconds(self._peer_count, now)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_sender.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_sender.py
@@ -1,4 +1,4 @@
-"""Whom an entry tells what, and how often."""
+"""Sends updates and summaries to the peers that they concern."""
 
 from collections.abc import Iterable
 
@@ -12,7 +12,7 @@
 
 
 class UpdateSender:
-    """Sends the updates of one entry to those whom they concern."""
+    """Sends the updates of one entry to the peers that they concern."""
 
     def __init__(
         self,
@@ -23,57 +23,57 @@
         self.node = node
         self.membership = membership
         self.writer = writer
-        self._beat = 0
+        self._round = 0
 
-    def greet(self, address: str, now: float) -> None:
-        """Introduce this entry, and ask whom the other knows."""
-        greeting = msgspec.structs.replace(
-            self.writer.whole(now),
+    def introduce(self, address: str, now: float) -> None:
+        """Introduce this entry to a peer and request its members."""
+        introduction = msgspec.structs.replace(
+            self.writer.full(now),
             is_greeting=True,
         )
-        self.node.peer(address).post(greeting)
+        self.node.peer(address).post(introduction)
 
-    def changes(self, changed: set[EndpointId], now: float) -> None:
-        """Tell the own cell, and the cells whose engines it is about."""
-        self._tell(self.writer.changes(changed, now), self.membership.near())
-        self._tell_owners(changed, now, is_whole=False)
+    def send_changes(self, changed: set[EndpointId], now: float) -> None:
+        """Send changed loads to the own cell and to the engines' cells."""
+        self._send(self.writer.changes(changed, now), self.membership.near())
+        self._send_to_owners(changed, now, is_whole=False)
 
-    def everything(self, now: float) -> None:
-        """Tell the own cell what there is, and each other cell a summary."""
-        self._tell(self.writer.whole(now), self.membership.near())
-        self._tell_owners(self.writer.book.own, now, is_whole=True)
-        self._tell_cells(now)
+    def send_full(self, now: float) -> None:
+        """Send a full update to the own cell, a summary to each other cell."""
+        self._send(self.writer.full(now), self.membership.near())
+        self._send_to_owners(self.writer.registry.own, now, is_whole=True)
+        self._send_summaries(now)
 
-    def _tell(self, message: LoadUpdate, addresses: Iterable[str]) -> None:
-        told = compress(message)
+    def _send(self, message: LoadUpdate, addresses: Iterable[str]) -> None:
+        compressed = compress(message)
         for address in addresses:
-            self.node.peer(address).post(told)
+            self.node.peer(address).post(compressed)
 
-    def _tell_cells(self, now: float) -> None:
-        self._beat += 1
+    def _send_summaries(self, now: float) -> None:
+        self._round += 1
         for zone in self.membership.other_zones:
-            partner = self.membership.partner(zone, self._beat)
+            partner = self.membership.partner(zone, self._round)
             if partner is not None:
                 summary = self.writer.summary(partner, now)
                 self.node.peer(partner).post(compress(summary))
 
-    def _tell_owners(
+    def _send_to_owners(
         self,
         endpoints: Iterable[EndpointId],
         now: float,
         *,
         is_whole: bool,
     ) -> None:
-        """Tell other cells what this entry has at their engines.
+        """Send other cells the load of this entry at their engines.
 
-        What goes wrong otherwise: an entry that finds its own cell full sends
-        work to another cell, whose entries go on filling the same engines
-        until a summary has come round.
+        Without this, when an entry finds its own cell full and sends requests
+        to another cell, the entries there go on filling the same engines until
+        the next summary arrives.
         """
-        for zone, abroad in self.writer.by_owner(endpoints).items():
-            told = msgspec.structs.replace(
-                self.writer.changes(abroad, now),
+        for zone, owned in self.writer.by_owner(endpoints).items():
+            update = msgspec.structs.replace(
+                self.writer.changes(owned, now),
                 is_whole=is_whole,
                 turns_per_s=0,
             )
-            self._tell(told, self.membership.living_in(zone))
+            self._send(update, self.membership.living_in(zone))
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
@@ -1,4 +1,4 @@
-"""What an entry writes to others: its own work, and what its cell has."""
+"""Builds the messages of an entry to its peers."""
 
 from collections.abc import Iterable
 
@@ -13,7 +13,7 @@
 
 
 class UpdateWriter:
-    """Writes the messages of one entry to others."""
+    """Builds the updates and summaries of one entry."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
     ) -> None:
         self.context = context
         self.membership = membership
-        self.book: LoadBook = context.dispatcher.book
+        self.registry: LoadBook = context.dispatcher.book
         self.limits: RateLimits = context.dispatcher.limits
 
     def changes(
@@ -30,49 +30,49 @@
         endpoints: Iterable[EndpointId],
         now: float,
     ) -> LoadUpdate:
-        """Return an update with what this entry has at some engines."""
+        """Return an update with the load of this entry at some engines."""
         context = self.context
         return LoadUpdate(
             entry=context.entry,
             zone=context.settings.zone,
             settings_version=context.keeper.version,
             is_whole=False,
-            shares=self.book.shares(endpoints, now),
-            turns_per_s=self.book.turns.rate(now),
+            shares=self.registry.shares(endpoints, now),
+            turns_per_s=self.registry.turns.rate(now),
             failing=context.dispatcher.failures.to_tell(now),
             crashes=context.quarantine.book.news(now),
             limits=self.limits.reports(set(endpoints), now),
         )
 
-    def whole(self, now: float) -> LoadUpdate:
-        """Return an update with all that this entry has."""
+    def full(self, now: float) -> LoadUpdate:
+        """Return a full update."""
         return msgspec.structs.replace(
-            self.changes(self.book.own, now),
+            self.changes(self.registry.own, now),
             is_whole=True,
             members=self._all_living(own_cell=True),
-            leaving=self.context.keeper.leaving.lately(),
+            leaving=self.context.keeper.leaving.recent(),
             crashes=self.context.quarantine.book.in_turn(now),
             limits=self.limits.everything(now),
         )
 
     def introduction(self, now: float) -> LoadUpdate:
-        """Return an update that names all entries, for a newcomer."""
+        """Return a full update that names all entries, for a new member."""
         return msgspec.structs.replace(
-            self.whole(now),
+            self.full(now),
             peers=tuple(self.membership.members),
             members=self._all_living(own_cell=False),
-            leaving=self.context.keeper.leaving.everything(),
+            leaving=self.context.keeper.leaving.all_known(),
             crashes=self.context.quarantine.book.everything(now),
         )
 
     def summary(self, receiver: str, now: float) -> CellSummary:
-        """Return what the cell has, for an entry of another cell.
+        """Return the load of the own cell, for an entry of another cell.
 
         Parameters
         ----------
         receiver
-            Address of that entry. One that has work here has told so, and is
-            known by its name.
+            Address of that entry. An entry that has requests in this cell has
+            reported them itself and is known by its name.
         """
         name = self.membership.members[receiver].name
         context = self.context
@@ -82,11 +82,11 @@
             entry=context.entry,
             zone=zone,
             settings_version=context.keeper.version,
-            shares=self.book.near_shares(self._busy_in(zone), now, name),
+            shares=self.registry.near_shares(self._busy_in(zone), now, name),
             members=(*own.addresses, self.membership.address),
             contacts=tuple(self._contacts()),
-            leaving=context.keeper.leaving.lately(),
-            turns_per_s=self.book.pressure(now).turns_per_s,
+            leaving=context.keeper.leaving.recent(),
+            turns_per_s=self.registry.pressure(now).turns_per_s,
             crashes=context.quarantine.book.in_turn(now),
             limits=self._limits_in(zone, now, name),
         )
@@ -95,17 +95,17 @@
         self,
         endpoints: Iterable[EndpointId],
     ) -> dict[ZoneId, set[EndpointId]]:
-        """Return those endpoints that belong to other cells, by their zone."""
-        found: dict[ZoneId, set[EndpointId]] = {}
+        """Return the endpoints of other cells among these, by zone."""
+        owned: dict[ZoneId, set[EndpointId]] = {}
         cells = self.context.dispatcher.cells
         for endpoint in endpoints:
             zone = self._zone_of(endpoint)
             if zone is not None and not cells.owns(zone):
-                found.setdefault(zone, set()).add(endpoint)
-        return found
+                owned.setdefault(zone, set()).add(endpoint)
+        return owned
 
     def _busy_in(self, zone: ZoneId) -> list[EndpointId]:
-        busy = self.book.own.keys() | self.book.heard.keys()
+        busy = self.registry.own.keys() | self.registry.heard.keys()
         return sorted(one for one in busy if self._zone_of(one) == zone)
 
     def _limits_in(
@@ -124,7 +124,7 @@
         return None if record is None else record.zone
 
     def _all_living(self, *, own_cell: bool) -> tuple[CellMembers, ...]:
-        """Return the living entries by zone, of the own cell or of all."""
+        """Return the living entries by zone, of this cell or of all cells."""
         known = self.membership
         zones = {one.zone for one in known.members.values()}
         if own_cell:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_cells.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Entries of a fleet that is too large for each to tell all others."""
+"""Entries of a fleet that is too large for a single cell."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 from .builders import COSTS, HOST, MODEL, route, table_of
 from .builders_mesh import entries, news_of, running
 
-TURN = ReadRequest(
+SHORT_REQUEST = ReadRequest(
     prompt_tokens=5000,
     answer_tokens=1700,
     objective_ms=300,
@@ -40,17 +40,21 @@
 
 @pytest.fixture(autouse=True)
 def small_cells(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have a fleet of four entries be too large for one cell."""
+    """Make a fleet of four entries too large for one cell."""
     monkeypatch.setattr(members, 'LARGEST_CELL', 3)
 
 
-def cells(number: int = 4) -> list[ForwardingProcess]:
-    """Return entries in two zones, with an engine in each."""
+def two_cells(number: int = 4) -> list[ForwardingProcess]:
+    """Return entries in two zones, with one engine in each zone."""
     return entries(number, 'ab', FLEET)
 
 
-def begin(process: ForwardingProcess, endpoint: str, requests: int) -> None:
-    """Have an entry send requests to an engine."""
+def send_requests(
+    process: ForwardingProcess,
+    endpoint: str,
+    requests: int,
+) -> None:
+    """Register requests that an entry sends to an engine."""
     name = process.context.entry
     for number in range(requests):
         process.context.dispatcher.begin(
@@ -59,140 +63,137 @@
         )
 
 
-def known(process: ForwardingProcess, endpoint: str) -> int:
-    """Return the requests that an entry believes to be at an engine."""
+def known_requests(process: ForwardingProcess, endpoint: str) -> int:
+    """Return the number of requests that an entry counts at an engine."""
     book = process.context.dispatcher.book
     now = process.context.clock.monotonic()
     return book.load(EndpointId(endpoint), now).requests
 
 
-async def until_known(
+async def wait_until_known(
     process: ForwardingProcess,
     endpoint: str,
     requests: int,
     seconds: float = 5,
 ) -> None:
     async with asyncio.timeout(seconds):
-        while known(process, endpoint) != requests:
+        while known_requests(process, endpoint) != requests:
             await asyncio.sleep(0.01)
 
 
-async def test_entries_of_all_cells_count_one_another() -> None:
-    """A fleet of two cells knows only one of its entries at the start.
+async def test_entry_counts_the_entries_of_all_cells() -> None:
+    """Guards against an entry that uses too many of the permitted retries.
 
-    Whoever counts too few entries takes too large a part of the repeats that
-    the operator allows for all of them.
+    All entries share the retries that the operator allows. At the start, each
+    entry knows only one other entry, and may count too few of them.
     """
-    async with running(cells()) as made:
-        for process in made:
+    async with running(two_cells()) as processes:
+        for process in processes:
             assert process.context.entries == 4
             assert process.context.dispatcher.cells.zones == {'a', 'b'}
 
 
-async def test_load_of_another_cell_is_known_without_its_every_request() -> (
-    None
-):
-    async with running(cells()) as (first, second, third, _):
-        begin(first, 'e-a', 3)
-        await until_known(third, 'e-a', 3)
-        await until_known(second, 'e-a', 3)
-        heard = second.context.dispatcher.book.heard
-        assert EndpointId('e-a') not in heard
+async def test_load_of_another_cell_is_known_from_its_summary() -> None:
+    async with running(two_cells()) as (first, second, third, _):
+        send_requests(first, 'e-a', 3)
+        await wait_until_known(third, 'e-a', 3)
+        await wait_until_known(second, 'e-a', 3)
+        peer_loads = second.context.dispatcher.book.heard
+        assert EndpointId('e-a') not in peer_loads
 
 
-async def test_work_sent_to_another_cell_is_known_there_at_once() -> None:
-    """An entry finds its own cell full and sends turns to another one.
+async def test_requests_sent_to_another_cell_are_known_there_at_once() -> None:
+    """Guards against two cells that fill the same engine for a second.
 
-    If the entries there learned of it from a summary only, they would fill
-    the same engine for a second, and its turns would be late.
+    An entry whose own cell is full sends short requests to another cell. They
+    would be late if the entries there learned of them from a summary only.
     """
-    async with running(cells()) as (first, second, *_):
-        begin(first, 'e-b', 2)
-        await until_known(second, 'e-b', 2, seconds=0.5)
+    async with running(two_cells()) as (first, second, *_):
+        send_requests(first, 'e-b', 2)
+        await wait_until_known(second, 'e-b', 2, seconds=0.5)
 
 
-async def test_own_work_elsewhere_is_not_counted_twice() -> None:
-    """An entry has sent two turns to another cell when its summary comes.
+async def test_own_requests_in_another_cell_are_not_counted_twice() -> None:
+    """Guards against an engine with free capacity that looks full.
 
-    Counted once more with what the summary says, they would keep it away from
-    an engine that has room.
+    An entry has sent two short requests to another cell when a summary of that
+    cell arrives. The entry must not add its own requests to the summary.
     """
-    async with running(cells()) as (first, second, *_):
-        begin(first, 'e-b', 2)
-        begin(second, 'e-b', 1)
+    async with running(two_cells()) as (first, second, *_):
+        send_requests(first, 'e-b', 2)
+        send_requests(second, 'e-b', 1)
         book = first.context.dispatcher.book
         async with asyncio.timeout(5):
             while EndpointId('e-b') not in book.totals:
                 await asyncio.sleep(0.01)
-        assert known(first, 'e-b') == 3
-        await until_known(second, 'e-b', 3)
+        assert known_requests(first, 'e-b') == 3
+        await wait_until_known(second, 'e-b', 3)
 
 
-async def test_turns_stay_in_their_cell_until_it_is_full() -> None:
-    async with running(cells()) as made:
-        first = made[0]
+async def test_short_requests_stay_in_their_cell_until_it_is_full() -> None:
+    async with running(two_cells()) as processes:
+        first = processes[0]
         dispatcher = first.context.dispatcher
         table = first.context.keeper.table
         service = table.services[MODEL]
-        near = dispatcher.place_model(service, COSTS, TURN, ())
+        near = dispatcher.place_model(service, COSTS, SHORT_REQUEST, ())
         assert near.home.endpoint == 'e-a'
-        begin(first, 'e-a', COSTS.slots)
-        far = dispatcher.place_model(service, COSTS, TURN, ())
+        send_requests(first, 'e-a', COSTS.slots)
+        far = dispatcher.place_model(service, COSTS, SHORT_REQUEST, ())
         assert far.home.endpoint == 'e-b'
 
 
-async def test_cell_goes_on_when_an_entry_of_it_dies() -> None:
-    """One of the two entries of a zone dies.
+async def test_cell_continues_to_report_when_one_of_its_entries_dies() -> None:
+    """Guards against a cell whose reports end when one of its entries dies.
 
-    The others of its cell must take over nothing from it, and the other
-    cell must hear of the first as before.
+    No entry has a role that another entry would have to take over: the other
+    cell must receive the loads of the remaining entry as before.
     """
-    async with running(cells()) as (first, second, third, _):
+    async with running(two_cells()) as (first, second, third, _):
         await third.close()
-        begin(first, 'e-a', 3)
-        await until_known(second, 'e-a', 3, seconds=8)
+        send_requests(first, 'e-a', 3)
+        await wait_until_known(second, 'e-a', 3, seconds=8)
 
 
-async def test_configuration_crosses_cells_that_the_platform_turns_away() -> (
-    None
-):
-    """The platform turns a whole zone away while the operator changes routes.
+async def test_configuration_reaches_a_cell_that_the_platform_refuses() -> None:
+    """Guards against a zone that serves routes that have been removed.
 
-    Until it takes them in again, the entries of that zone would serve routes
-    that are gone.
+    The platform refuses all entries of a zone while the operator changes
+    routes.
     """
-    async with running(cells()) as made:
-        for process in made[1::2]:
+    async with running(two_cells()) as processes:
+        for process in processes[1::2]:
             process.context.keeper.feed.is_away = True
         newer = table_of(route(RouteKind.SAFE))
         newer.version += 6
         change = TableChanged(PublishedTable(newer, b'9'))
-        news_of(made[0]).put_nowait(change)
+        news_of(processes[0]).put_nowait(change)
         async with asyncio.timeout(8):
-            while any(one.context.keeper.version < 9 for one in made):
+            while any(one.context.keeper.version < 9 for one in processes):
                 await asyncio.sleep(0.02)
 
 
-async def test_restarted_entry_is_told_by_its_cell() -> None:
-    """An entry starts anew while its seed, an entry of another zone, is dead.
+async def test_restarted_entry_is_found_by_its_cell() -> None:
+    """Guards against an entry that stays alone because its seed is dead.
 
-    Its cell goes on telling it what happens, so that it finds them all.
+    The entry restarts while its seed, an entry of another zone, is dead. Its
+    cell goes on sending it updates, from which it discovers all entries.
     """
-    made = cells()
-    async with running(made) as (first, _, _, fourth):
+    processes = two_cells()
+    async with running(processes) as (first, _, _, fourth):
         await first.close()
         settings = fourth.context.settings
         await fourth.close()
-        anew = ForwardingProcess.from_settings(
+        restarted = ForwardingProcess.from_settings(
             lambda: msgspec.structs.replace(settings),
             fourth.context.keeper.feed,
             fourth.context.wire,
             fourth.mesh.node.codec.keys,
         )
-        anew.start_tasks()
+        restarted.start_tasks()
         try:
             async with asyncio.timeout(15):
-                while anew.mesh.membership.living < 3:
+                while restarted.mesh.membership.living < 3:
                     await asyncio.sleep(0.02)
         finally:
-            await anew.close()
+            await restarted.close()
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_leaving_in_answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_leaving_in_answers.py
@@ -1,4 +1,4 @@
-"""Endpoints that say in their answers that they leave get nothing more."""
+"""Endpoints whose answers report that they leave get no more requests."""
 
 import asyncio
 from types import MappingProxyType
@@ -28,7 +28,7 @@
 SAFE = route(RouteKind.SAFE)
 CHAT = route(RouteKind.RESUMABLE_STREAM, MODEL)
 LEAVING = 'Leaving: 1\r\n'
-ASKED = 8
+REQUESTS = 8
 ANSWERS = MappingProxyType(
     {
         'success': saying(whole(extra=LEAVING)),
@@ -49,54 +49,61 @@
 
 
 @pytest.mark.parametrize('kind', ANSWERS)
-async def test_endpoint_that_says_it_leaves_gets_nothing_more(
+async def test_endpoint_that_reports_leaving_gets_no_more_requests(
     kind: str,
 ) -> None:
-    """Guards against requests that are cut off when their endpoint ends."""
-    ending = plain('e1', ANSWERS[kind])
-    async with entry_before(SAFE, ending, plain('e2')) as entry:
-        for number in range(ASKED):
+    """Guards against requests that are lost when their endpoint exits."""
+    leaving_endpoint = plain('e1', ANSWERS[kind])
+    async with entry_before(SAFE, leaving_endpoint, plain('e2')) as entry:
+        for number in range(REQUESTS):
             answer = await entry.ask(Id=f'q{number}')
             assert answer.startswith(b'HTTP/1.1 200')
-    assert len(ending.requests) <= 1
-
-
-async def test_engine_that_says_it_leaves_gets_no_more_streams() -> None:
-    """Guards against streams that are cut off when their engine ends."""
-    ending = plain('e1', LEAVING_STREAM)
-    async with entry_before(CHAT, ending, plain('e2', ANSWER)) as entry:
-        for number in range(ASKED):
+    assert len(leaving_endpoint.requests) <= 1
+
+
+async def test_engine_that_reports_leaving_gets_no_more_streams() -> None:
+    """Guards against streams that break when their engine exits."""
+    leaving_endpoint = plain('e1', LEAVING_STREAM)
+    async with entry_before(
+        CHAT,
+        leaving_endpoint,
+        plain('e2', ANSWER),
+    ) as entry:
+        for number in range(REQUESTS):
             await entry.ask(Id=f'q{number}', Prompt='5000')
-    assert len(ending.requests) <= 1
+    assert len(leaving_endpoint.requests) <= 1
 
 
-async def test_leaving_that_only_an_order_is_told_is_heard() -> None:
-    """Guards against a word that is lost as an order's answer is a status."""
+async def test_leaving_in_the_answer_to_an_order_is_applied() -> None:
+    """Guards against reports that are lost in the answers to orders.
+
+    Of such an answer, the caller of the order reads only the status.
+    """
     fleet = engines(ANSWER, saying(whole('{}', extra=LEAVING)))
     async with entry_before(STREAM, *fleet) as entry:
         await entry.ask(Prompt=HUGE)
         usable = entry.context.keeper.directory.usable(MODEL)
     ordered = {engine.name for engine in fleet if engine.orders}
     assert ordered
-    assert not ordered & {one.endpoint for one in usable}
+    assert not ordered & {record.endpoint for record in usable}
 
 
-async def test_callers_are_refused_at_once_where_all_endpoints_leave() -> None:
-    """Guards against requests to endpoints that end, for want of others."""
-    ending = plain('e1', ANSWERS['success'])
-    async with entry_before(SAFE, ending) as entry:
+async def test_callers_are_refused_at_once_if_all_endpoints_leave() -> None:
+    """Guards against requests to leaving endpoints if there are no others."""
+    leaving_endpoint = plain('e1', ANSWERS['success'])
+    async with entry_before(SAFE, leaving_endpoint) as entry:
         await entry.ask()
         answer = await entry.ask()
-    assert len(ending.requests) == 1
+    assert len(leaving_endpoint.requests) == 1
     assert answer.startswith(b'HTTP/1.1 503')
     assert b'Retry-After' in answer
 
 
-async def test_leaving_is_told_to_other_entries() -> None:
-    """Guards against entries that each send once to an endpoint that ends."""
-    ending = plain('e1', ANSWERS['success'])
-    listed = await snapshot_of(SAFE, (ending,))
-    async with running(entries(2, snapshot=listed)) as (first, second):
+async def test_leaving_is_reported_to_other_entries() -> None:
+    """Guards against one lost request per entry at a leaving endpoint."""
+    leaving_endpoint = plain('e1', ANSWERS['success'])
+    snapshot = await snapshot_of(SAFE, (leaving_endpoint,))
+    async with running(entries(2, snapshot=snapshot)) as (first, second):
         async with asked_at(first) as caller:
             await caller.ask()
         directory = second.context.keeper.directory
@@ -105,18 +112,21 @@
                 await asyncio.sleep(0.01)
 
 
-async def test_newcomer_is_told_of_endpoints_that_said_so_long_ago(
+async def test_new_entry_is_sent_endpoints_that_began_to_leave_long_ago(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against an entry that starts while the platform is behind."""
+    """Guards against a new entry that uses a leaving endpoint.
+
+    The entry starts while the platform does not yet show that it leaves.
+    """
     monkeypatch.setattr(leaving, 'LEAVING_SECONDS', 0)
     endpoint = plain('e1')
-    listed = await snapshot_of(SAFE, (endpoint,))
-    first, second = entries(2, snapshot=listed)
+    snapshot = await snapshot_of(SAFE, (endpoint,))
+    first, second = entries(2, snapshot=snapshot)
     first.start_tasks()
     while not first.context.keeper.is_ready:
         await asyncio.sleep(0.01)
-    first.context.keeper.leaving.said(endpoint.record(SERVICE).lifetime)
+    first.context.keeper.leaving.mark_leaving(endpoint.record(SERVICE).lifetime)
     second.start_tasks()
     keeper = second.context.keeper
     try:
@@ -127,10 +137,8 @@
         await asyncio.gather(first.close(), second.close())
 
 
-async def test_answer_of_another_instance_tells_nothing_of_an_endpoint() -> (
-    None
-):
-    """Guards against a word of whoever has an endpoint's address now."""
+async def test_answer_of_another_instance_does_not_mark_the_endpoint() -> None:
+    """Guards against reports of another process at the same address."""
     endpoint = plain('e1', saying(whole('', 421, LEAVING)))
     async with entry_before(SAFE, endpoint) as entry:
         await entry.ask()
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
@@ -1,4 +1,4 @@
-"""Entries that tell one another what the platform hides from some of them."""
+"""Entries that report to one another what the platform does not show."""
 
 import asyncio
 
@@ -14,11 +14,11 @@
 from .builders_mesh import entries, news_of, running
 
 
-async def test_configuration_reaches_an_entry_that_is_turned_away() -> None:
-    """The platform turns one entry away while the operator takes a key back.
+async def test_configuration_reaches_an_entry_that_is_refused() -> None:
+    """Guards against an entry that serves a workspace that has been closed.
 
-    Until the platform takes it in again, that entry would serve a workspace
-    that has been closed.
+    The platform refuses one entry while the operator revokes a key. That entry
+    reads the platform again only later.
     """
     async with running(entries(2)) as (first, second):
         second.context.keeper.feed.is_away = True
@@ -32,13 +32,11 @@
                 await asyncio.sleep(0.02)
 
 
-async def test_leaving_endpoint_is_known_to_an_entry_that_is_turned_away() -> (
-    None
-):
-    """An endpoint announces that it leaves, which one entry cannot read.
+async def test_leaving_endpoint_is_known_to_an_entry_that_is_refused() -> None:
+    """Guards against requests that are lost when their endpoint exits.
 
-    Requests that it goes on sending there are cut off when the endpoint
-    exits.
+    One entry cannot read from the platform that the endpoint leaves, and would
+    go on sending requests there.
     """
     async with running(entries(2)) as (first, second):
         second.context.keeper.feed.is_away = True
@@ -50,7 +48,7 @@
                 await asyncio.sleep(0.02)
 
 
-async def test_work_of_one_entry_is_known_to_the_other() -> None:
+async def test_load_of_one_entry_is_known_to_the_other() -> None:
     async with running(entries(2)) as (first, second):
         assignment = Assignment(read_ms=5000)
         name = EndpointId('e1')
@@ -64,20 +62,21 @@
         assert unread.read_ms - unread.waited_ms > 4000
 
 
-async def test_newcomer_is_told_at_once_what_the_others_have(
+async def test_new_entry_receives_the_load_of_the_others_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An entry starts anew while the others have filled some engines.
+    """Guards against a restarted entry that overloads full engines.
 
-    Until it is told, it fills the same engines once more, and the callers of
-    both wait. The next update of all work is put off here for ten minutes.
+    It would send requests to the engines that the other entries have filled,
+    and the callers of all of them would wait. The next full update is ten
+    minutes away in this test.
     """
     monkeypatch.setattr(entry_mesh, 'WHOLE_SECONDS', 600)
     first, second = entries(2)
     first.start_tasks()
     await asyncio.sleep(0.1)
-    work = {ENDPOINT.endpoint: Assignment(read_ms=5000)}
-    first.context.dispatcher.begin(RequestId('r1'), work)
+    assignments = {ENDPOINT.endpoint: Assignment(read_ms=5000)}
+    first.context.dispatcher.begin(RequestId('r1'), assignments)
     first.context.dispatcher.book.take_changed()
     second.start_tasks()
     book = second.context.dispatcher.book
@@ -90,10 +89,10 @@
         await asyncio.gather(first.close(), second.close())
 
 
-async def test_silent_endpoint_is_left_alone_by_word_of_a_peer() -> None:
-    """An endpoint falls silent, and one entry has lost a request there.
+async def test_endpoint_that_a_peer_reports_as_silent_is_skipped() -> None:
+    """Guards against one lost request per entry at a silent endpoint.
 
-    Without its word, each other entry would lose one there as well.
+    One entry has lost a request there and reports it to its peers.
     """
     async with running(entries(2)) as (first, second):
         first.context.dispatcher.failed(ENDPOINT.endpoint)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_read_pace.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_read_pace.py
@@ -1,4 +1,4 @@
-"""What a fleet asks of the platform while endpoints come and go."""
+"""Calls of a fleet to the platform while endpoints register and leave."""
 
 import asyncio
 
@@ -12,21 +12,21 @@
 
 CHANGES = 60
 GAP_SECONDS = 0.01
-#: Time within which a change is in force here, in seconds.
-IN_FORCE_SECONDS = 1.2
-#: Longer than anything takes here, also on a busy machine.
-MANY_SECONDS = 20
+#: Time within which a change must be in force in these tests, in seconds.
+CHANGE_SECONDS = 1.2
+#: Longer than any step of these tests, also on a busy machine, in seconds.
+TIMEOUT_SECONDS = 20
 
 
 class BusyFeed(FixedFeed):
-    """A platform on which one endpoint after another registers.
+    """A platform on which endpoints register one after another.
 
     Attributes
     ----------
     calls
-        Watches that were opened.
+        Number of watches that were opened.
     waits
-        How long each of them was to wait, in seconds.
+        How long each watch waits at most, in seconds.
     """
 
     def __init__(self) -> None:
@@ -56,21 +56,21 @@
         self.more.set()
 
 
-async def watched(feed: BusyFeed, pace: ReadPace) -> asyncio.Task[None]:
-    keeper = FleetKeeper(feed, SystemClock(), pace)
+async def start_keeper(feed: BusyFeed, limit: ReadPace) -> asyncio.Task[None]:
+    keeper = FleetKeeper(feed, SystemClock(), limit)
     return asyncio.create_task(keeper.run())
 
 
-async def test_registrations_come_together_in_a_few_calls() -> None:
-    """Endpoints register one after the other, each of which ends the watch.
+async def test_registrations_are_read_in_a_few_calls() -> None:
+    """Guards against a platform that refuses entries because of their calls.
 
-    Asked again at once, the platform gets a call of every entry for every
-    endpoint, and turns entries away.
+    Endpoints register one after another, and each ends the watch. Without a
+    pause, every entry would make one call for every endpoint.
     """
     feed = BusyFeed()
-    pace = ReadPace(IN_FORCE_SECONDS)
-    pace.entries = 68
-    task = await watched(feed, pace)
+    limit = ReadPace(CHANGE_SECONDS)
+    limit.entries = 68
+    task = await start_keeper(feed, limit)
     for _ in range(CHANGES):
         await asyncio.sleep(GAP_SECONDS)
         feed.change()
@@ -79,53 +79,57 @@
 
 
 @pytest.mark.parametrize('entries', [10, 26, 68])
-def test_release_costs_few_calls_whatever_the_fleet(entries: int) -> None:
-    """A service is replaced within 20 s, which is a change every moment.
+def test_release_costs_few_calls_for_any_number_of_entries(
+    entries: int,
+) -> None:
+    """Guards against costs that grow with the number of entries.
 
-    Each entry reads what has changed as often as its pauses let it; the
-    operator pays for every call of every entry.
+    A service is replaced within 20 s, with changes all the time. Each entry
+    reads as often as its pauses permit, and the operator pays for every call.
     """
-    pace = ReadPace(change_seconds=8)
-    pace.entries = entries
-    calls = entries * 20 / pace.gather_seconds
+    limit = ReadPace(change_seconds=8)
+    limit.entries = entries
+    calls = entries * 20 / limit.gather_seconds
     assert calls <= 1000
 
 
-async def test_pause_ends_however_many_entries_there_are() -> None:
-    """The fleet is so large that its entries' calls, spread, take minutes."""
+async def test_pause_ends_for_any_number_of_entries() -> None:
+    """Guards against a pause of minutes in a very large fleet.
+
+    The calls of all its entries would take minutes at the permitted rate.
+    """
     feed = BusyFeed()
-    pace = ReadPace(IN_FORCE_SECONDS)
-    pace.entries = 1_000_000
-    assert pace.gather_seconds <= IN_FORCE_SECONDS / 4
-    task = await watched(feed, pace)
+    limit = ReadPace(CHANGE_SECONDS)
+    limit.entries = 1_000_000
+    assert limit.gather_seconds <= CHANGE_SECONDS / 4
+    task = await start_keeper(feed, limit)
     await asyncio.sleep(GAP_SECONDS)
     feed.change()
     await asyncio.sleep(GAP_SECONDS)
     feed.change()
-    async with asyncio.timeout(MANY_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while feed.calls < 3:
             await asyncio.sleep(GAP_SECONDS)
     task.cancel()
-    assert set(feed.waits) == {IN_FORCE_SECONDS}
+    assert set(feed.waits) == {CHANGE_SECONDS}
 
 
-async def test_word_of_a_newer_configuration_ends_the_pause() -> None:
-    """A peer has a configuration that came while this entry gathers.
+async def test_report_of_a_newer_configuration_ends_the_pause() -> None:
+    """Guards against an old configuration that serves callers during a pause.
 
-    Without its word, callers of this entry would be served by the older one
-    for the rest of the pause.
+    A peer reports a newer configuration while this entry gathers changes.
     """
     feed = BusyFeed()
-    pace = ReadPace(change_seconds=600)
-    pace.entries = 10_000
-    task = await watched(feed, pace)
+    limit = ReadPace(change_seconds=600)
+    limit.entries = 10_000
+    task = await start_keeper(feed, limit)
     await asyncio.sleep(GAP_SECONDS)
     feed.change()
     await asyncio.sleep(GAP_SECONDS)
     feed.change()
-    asked = feed.calls
-    pace.hurry()
-    async with asyncio.timeout(MANY_SECONDS):
-        while feed.calls == asked:
+    calls = feed.calls
+    limit.end_pause()
+    async with asyncio.timeout(TIMEOUT_SECONDS):
+        while feed.calls == calls:
             await asyncio.sleep(GAP_SECONDS)
     task.cancel()
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_reservations.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_reservations.py
@@ -1,4 +1,4 @@
-"""Memory that is set aside is given back in every ending."""
+"""Reserved memory is released however the request ends."""
 
 import asyncio
 
@@ -19,21 +19,21 @@
 )
 from .builders_engines import ANSWER, HUGE, STREAM, Engine, engines
 
-REFUSED = saying(whole('', 409))
+NO_MEMORY = saying(whole('', 409))
 
 
-async def released(fleet: list[Engine]) -> None:
-    """Wait until each engine that was asked to reserve was asked to release."""
+async def wait_released(fleet: list[Engine]) -> None:
+    """Wait until each engine that got a reserve order got a release order."""
     async with asyncio.timeout(5):
-        while not all(balanced(one) for one in fleet):
+        while not all(is_released(one) for one in fleet):
             await asyncio.sleep(0.02)
 
 
-def balanced(engine: Engine) -> bool:
+def is_released(engine: Engine) -> bool:
     return not engine.orders or engine.orders[-1] == 'release'
 
 
-def reserved(fleet: list[Engine]) -> int:
+def reserve_count(fleet: list[Engine]) -> int:
     return sum('reserve' in one.orders for one in fleet)
 
 
@@ -41,64 +41,65 @@
     return await entry.ask(Prompt=HUGE)
 
 
-async def test_after_the_answer() -> None:
+async def test_released_after_the_answer() -> None:
     fleet = engines(ANSWER)
     async with entry_before(STREAM, *fleet) as entry:
         answer = await ask(entry)
-        await released(fleet)
+        await wait_released(fleet)
     assert answer.endswith(LAST_CHUNK)
-    assert reserved(fleet)
+    assert reserve_count(fleet)
 
 
-async def test_after_a_broken_answer() -> None:
-    """The engine that reads a whole archive dies before its first event.
+async def test_released_after_a_broken_answer() -> None:
+    """Guards against memory that stays reserved until its lease expires.
 
-    Memory that stayed set aside at the others would be lost to everybody
-    until its lease ends.
+    The engine that serves a long prompt dies before its first event.
     """
     fleet = engines(saying(close=True))
     async with entry_before(STREAM, *fleet) as entry:
         await ask(entry)
-        await released(fleet)
-    assert reserved(fleet)
+        await wait_released(fleet)
+    assert reserve_count(fleet)
 
 
-async def test_after_the_caller_left() -> None:
-    """The auditing committee closes the page while its archive is read."""
+async def test_released_after_the_caller_disconnects() -> None:
+    """Guards against reserved memory of a request that has no caller."""
     fleet = engines(say_nothing)
     async with entry_before(STREAM, *fleet) as entry:
         _, writer = await asyncio.open_connection(HOST, entry.port)
         writer.write(request_bytes(Prompt=HUGE))
-        while not reserved(fleet):
+        while not reserve_count(fleet):
             await asyncio.sleep(0.02)
         writer.close()
-        await released(fleet)
+        await wait_released(fleet)
 
 
-async def test_one_engine_refuses() -> None:
-    """One of two engines has no memory; what the other one set aside goes."""
+async def test_released_if_one_engine_refuses() -> None:
+    """Guards against memory that one helper keeps if another refuses."""
     fleet = engines(ANSWER)
-    fleet[1].order = REFUSED
-    fleet[2].order = REFUSED
+    fleet[1].order = NO_MEMORY
+    fleet[2].order = NO_MEMORY
     async with entry_before(STREAM, *fleet) as entry:
         await ask(entry)
-        await released(fleet)
+        await wait_released(fleet)
 
 
-@pytest.mark.parametrize('order', [REFUSED, saying(close=True)])
-async def test_no_engine_sets_memory_aside(order: Talk) -> None:
-    """Nothing has run, and the caller is told so."""
+@pytest.mark.parametrize('order', [NO_MEMORY, saying(close=True)])
+async def test_caller_is_refused_if_no_engine_reserves_memory(
+    order: Talk,
+) -> None:
+    """Guards against an answer that hides that the request has not run."""
     fleet = engines(ANSWER, order)
     async with entry_before(STREAM, *fleet) as entry:
         answer = await ask(entry)
-        await released(fleet)
+        await wait_released(fleet)
     assert answer.startswith(b'HTTP/1.1 503')
 
 
 async def test_lease_is_renewed_while_the_request_runs() -> None:
-    """An archive takes longer to read than a lease lasts.
+    """Guards against a lease that expires while a long prompt is read.
 
-    Cut off when its memory expires, it would be read for nothing.
+    The request would be cancelled and the work on it lost.
     """
 
     async def slow(
@@ -111,24 +112,26 @@
     fleet = engines(slow)
     async with entry_before(STREAM, *fleet) as entry:
         await ask(entry)
-        await released(fleet)
+        await wait_released(fleet)
     assert max(one.orders.count('reserve') for one in fleet) == 3
 
 
 async def test_orders_count_against_the_rate_that_an_engine_names() -> None:
-    """Guards against an engine in need that gets orders beside requests."""
+    """Guards against orders that exceed the rate limit of an engine."""
     fleet = engines(ANSWER)
     async with entry_before(STREAM, *fleet) as entry:
         await ask(entry)
-        await released(fleet)
-        assert all(counted(entry, one) >= len(one.requests) for one in fleet)
+        await wait_released(fleet)
+        assert all(
+            reported_sends(entry, one) >= len(one.requests) for one in fleet
+        )
 
 
-def counted(entry: TestEntry, engine: Engine) -> int:
-    """Return the sends to an engine that peers would be told of."""
+def reported_sends(entry: TestEntry, engine: Engine) -> int:
+    """Return the sends to an engine that are reported to peers."""
     limits = entry.context.dispatcher.limits
     now = entry.context.clock.monotonic()
     record = engine.record(MODEL)
     limits.said(record.lifetime, 1, now)
-    told = limits.reports({record.endpoint}, now)
-    return sum(told[0].sends)
+    reports = limits.reports({record.endpoint}, now)
+    return sum(reports[0].sends)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_restored_platform.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_restored_platform.py
@@ -1,4 +1,4 @@
-"""A platform that comes back from a copy of itself some seconds old."""
+"""A platform that is restored from a copy that is some seconds old."""
 
 import asyncio
 
@@ -24,25 +24,25 @@
 
 
 class CopiedFeed(FixedFeed):
-    """A platform whose every answer a test prepares.
+    """A platform whose answers are prepared by a test.
 
     Attributes
     ----------
     batches
-        Answers to watches, in order; then the platform shows nothing new.
+        Answers to watches, in order; after them, watches return no change.
     """
 
     def __init__(self, *listed: EndpointRecord) -> None:
         super().__init__(listing(Epoch(1), *listed))
         self.batches: list[ChangeBatch | PlatformError] = []
-        self.lists = 0
+        self.snapshot_count = 0
 
     def restore(self, *listed: EndpointRecord, version: int = 3) -> None:
-        """Come back from an older copy, which has these endpoints."""
+        """Restore an older copy, which has these endpoints."""
         self.fixed = listing(Epoch(2), *listed, version=version)
 
     async def snapshot(self) -> FleetSnapshot:
-        self.lists += 1
+        self.snapshot_count += 1
         return self.fixed
 
     async def changes(
@@ -70,7 +70,7 @@
     return FleetSnapshot(Revision(10), published, listed, epoch)
 
 
-async def kept(feed: CopiedFeed, clock: ManualClock) -> FleetKeeper:
+async def start_keeper(feed: CopiedFeed, clock: ManualClock) -> FleetKeeper:
     """Return a keeper that has read the first list."""
     keeper = FleetKeeper(feed, clock)
     await keeper.step()
@@ -81,10 +81,10 @@
     return {one.endpoint for one in keeper.directory.usable(SERVICE)}
 
 
-async def test_revision_that_is_given_out_again_hides_no_change() -> None:
-    """Guards against a watch that goes on beyond what was written again."""
+async def test_revision_that_is_assigned_again_hides_no_change() -> None:
+    """Guards against a watch that skips changes with reused revisions."""
     feed = CopiedFeed(ENDPOINT)
-    keeper = await kept(feed, ManualClock())
+    keeper = await start_keeper(feed, ManualClock())
     feed.restore(ENDPOINT, OTHER)
     feed.batches = [ChangeBatch(Revision(12), epoch=Epoch(2))]
     await keeper.step()
@@ -92,11 +92,11 @@
     assert usable(keeper) == {ENDPOINT.endpoint, OTHER.endpoint}
 
 
-async def test_endpoint_that_the_copy_lacks_is_used_until_it_is_back() -> None:
-    """Guards against a service without endpoints while all are well."""
+async def test_endpoint_that_the_copy_lacks_is_used_until_it_expires() -> None:
+    """Guards against a service without endpoints while all are healthy."""
     feed = CopiedFeed(ENDPOINT, OTHER)
     clock = ManualClock()
-    keeper = await kept(feed, clock)
+    keeper = await start_keeper(feed, clock)
     feed.restore(ENDPOINT)
     feed.batches = [HistoryLostError('no history')]
     await keeper.step()
@@ -107,10 +107,10 @@
     assert OTHER.endpoint not in usable(keeper)
 
 
-async def test_endpoint_that_has_gone_is_not_brought_back_by_the_copy() -> None:
-    """Guards against requests to an endpoint that was seen to leave."""
+async def test_endpoint_that_is_gone_is_not_restored_by_the_copy() -> None:
+    """Guards against requests to an endpoint whose removal was seen."""
     feed = CopiedFeed(ENDPOINT, OTHER)
-    keeper = await kept(feed, ManualClock())
+    keeper = await start_keeper(feed, ManualClock())
     keeper.directory.remove(OTHER.endpoint)
     feed.restore(ENDPOINT, OTHER)
     feed.batches = [HistoryLostError('no history')]
@@ -119,13 +119,11 @@
     assert usable(keeper) == {ENDPOINT.endpoint}
 
 
-async def test_endpoint_that_still_lives_is_used_once_leases_have_lapsed() -> (
-    None
-):
-    """Guards against an endpoint that is left alone for good."""
+async def test_live_endpoint_is_used_again_once_leases_have_expired() -> None:
+    """Guards against a live endpoint that is never used again."""
     feed = CopiedFeed(ENDPOINT, OTHER)
     clock = ManualClock()
-    keeper = await kept(feed, clock)
+    keeper = await start_keeper(feed, clock)
     keeper.directory.remove(OTHER.endpoint)
     feed.restore(ENDPOINT, OTHER)
     feed.batches = [HistoryLostError('no history')]
@@ -137,11 +135,11 @@
     assert usable(keeper) == {ENDPOINT.endpoint, OTHER.endpoint}
 
 
-async def test_settings_never_go_back_to_those_of_the_copy() -> None:
-    """Guards against keys and routes that were taken away and come back."""
+async def test_settings_never_return_to_those_of_the_copy() -> None:
+    """Guards against removed keys and routes that become valid again."""
     feed = CopiedFeed(ENDPOINT)
     feed.fixed = listing(Epoch(1), ENDPOINT, version=NEWER_VERSION)
-    keeper = await kept(feed, ManualClock())
+    keeper = await start_keeper(feed, ManualClock())
     feed.restore(ENDPOINT, version=3)
     feed.batches = [HistoryLostError('no history')]
     await keeper.step()
@@ -149,29 +147,29 @@
     assert keeper.version == NEWER_VERSION
 
 
-async def test_entry_that_was_cut_off_meanwhile_lists_anew_once() -> None:
-    """Guards against an entry that takes the copy for what it knew before."""
+async def test_entry_that_was_disconnected_meanwhile_lists_once_more() -> None:
+    """Guards against an entry that mistakes the copy for the old state."""
     feed = CopiedFeed(ENDPOINT)
-    keeper = await kept(feed, ManualClock())
+    keeper = await start_keeper(feed, ManualClock())
     feed.restore(ENDPOINT, OTHER)
     feed.batches = [PlatformError('no answer'), PlatformError('no answer')]
     for _ in range(6):
         await keeper.step()
     assert usable(keeper) == {ENDPOINT.endpoint, OTHER.endpoint}
-    assert feed.lists == 2
+    assert feed.snapshot_count == 2
 
 
-async def test_entry_that_starts_in_the_gap_takes_what_there_is() -> None:
+async def test_entry_that_starts_after_the_restoration_uses_the_copy() -> None:
     feed = CopiedFeed(ENDPOINT)
     feed.restore(ENDPOINT, OTHER)
-    keeper = await kept(feed, ManualClock())
+    keeper = await start_keeper(feed, ManualClock())
     assert usable(keeper) == {ENDPOINT.endpoint, OTHER.endpoint}
 
 
-async def test_platform_that_names_no_epoch_is_read_as_before() -> None:
+async def test_platform_without_epochs_is_read_without_new_lists() -> None:
     feed = CopiedFeed(ENDPOINT)
     feed.batches = [ChangeBatch(Revision(11)), ChangeBatch(Revision(12))]
-    keeper = await kept(feed, ManualClock())
+    keeper = await start_keeper(feed, ManualClock())
     for _ in range(3):
         await keeper.step()
-    assert feed.lists == 1
+    assert feed.snapshot_count == 1
