--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
@@ -91,11 +91,11 @@
         relay: AnswerRelay,
         reserved: tuple[Helper, ...],
     ) -> None:
-        home = self.placement.home
+        primary = self.placement.home
         # A stream counts as idempotent only if it can be resumed. The `fresh`
         # parameter of the pool explains the risk of an idle connection.
         fresh = not self.call.route.kind.is_idempotent
-        channel = await self.context.pool.take(home, fresh=fresh)
+        channel = await self.context.pool.take(primary, fresh=fresh)
         try:
             self._check_still_accepts()
             self._send(channel, relay, reserved)
@@ -103,7 +103,7 @@
         except BaseException:
             channel.close()
             raise
-        self.context.pool.release(home, channel)
+        self.context.pool.release(primary, channel)
 
     def _check_still_accepts(self) -> None:
         """Raise if the endpoint has requested a backoff meanwhile.
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
@@ -85,7 +85,7 @@
 
     @property
     def is_endpoint_alive(self) -> bool:
-        """Whether the endpoint was active since the last event."""
+        """Whether the endpoint has sent anything since the last event."""
         return self._alive_at >= self.last_event_at
 
     @property
@@ -164,9 +164,9 @@
         return self._is_overdue(costs) and self._alternative_ms(costs) < left_ms
 
     def _has_waited_long(self) -> bool:
-        """Return whether a long prompt moves whatever causes its delay."""
-        home = self.placement.home.endpoint
-        if self.context.dispatcher.failures.is_doubtful(home):
+        """Return whether a long prompt moves for any cause of its delay."""
+        primary = self.placement.home.endpoint
+        if self.context.dispatcher.failures.is_doubtful(primary):
             return True
         timeout = self.call.route.time_limit * _LONG_TIMEOUT_SHARE
         return self._now() - self._last_activity_at() >= timeout
@@ -193,9 +193,9 @@
     @property
     def _alive_at(self) -> float:
         """Return when the endpoint last sent this entry an event."""
-        home = self.placement.home.endpoint
+        primary = self.placement.home.endpoint
         failures = self.context.dispatcher.failures
-        return failures.alive_at.get(home, 0)
+        return failures.alive_at.get(primary, 0)
 
     def _last_activity_at(self) -> float:
         """Return the time of the last activity that counts for the request.
