--- a/packages/sycamore-core/src/sycamore_core/decisions/admission.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/admission.py
@@ -106,7 +106,7 @@
     detail: str = ''
 
 
-def judge(
+def decide_admission(
     request: RequestView,
     estimate: WaitEstimate,
     now: float,
--- a/packages/sycamore-core/src/sycamore_core/decisions/batch_limit.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/batch_limit.py
@@ -40,10 +40,10 @@
     Examples
     --------
     >>> limit = BatchLimit()
-    >>> limit.note_first_token(late_seconds=0.5, present=20)
+    >>> limit.record_first_token(late_seconds=0.5, present=20)
     >>> limit.requests
     19.4
-    >>> limit.note_first_token(late_seconds=0, present=19)
+    >>> limit.record_first_token(late_seconds=0, present=19)
     >>> limit.requests
     20.4
     """
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self.requests = math.inf
 
-    def note_first_token(self, late_seconds: float, present: int) -> None:
+    def record_first_token(self, late_seconds: float, present: int) -> None:
         """Adapt the limit to the time of a first token.
 
         Parameters
--- a/packages/sycamore-core/src/sycamore_core/decisions/costs.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/costs.py
@@ -15,7 +15,7 @@
 from ..states import EndpointKind
 from .pool import Candidate
 from .requests import RequestView
-from .views import ASSUMED_RATE
+from .views import ASSUMED_PREFILL_RATE
 
 #: Time of one call of a plain service before its first report, in seconds.
 ASSUMED_CALL_SECONDS = 0.05
@@ -49,9 +49,9 @@
     @property
     def total_seconds(self) -> float:
         """Expected time to first token, in seconds."""
-        return self.weighed_seconds(1)
+        return self.weighted_seconds(1)
 
-    def weighed_seconds(self, compute_weight: float) -> float:
+    def weighted_seconds(self, compute_weight: float) -> float:
         """Return the total with the compute time multiplied by a weight."""
         computing = self.compute_seconds * compute_weight
         return self.wait_seconds + computing + self.network_seconds
@@ -78,7 +78,7 @@
             call = view.step_seconds or ASSUMED_CALL_SECONDS
             ahead = view.running + view.waiting + candidate.sent_requests
             return LatencyEstimate(ahead * call, call, network)
-        rate = view.service_rate or ASSUMED_RATE
+        rate = view.service_rate or ASSUMED_PREFILL_RATE
         queued = view.backlog_tokens + candidate.sent_new_tokens
         batch = view.running + candidate.sent_requests
         return LatencyEstimate(
--- a/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
@@ -14,8 +14,8 @@
 from .endpoint_book import EndpointBook
 from .flow import WaitingRequest
 from .least_loaded import LeastLoadedPlacement
-from .ordering import PRIORITY, target_time
-from .outstanding import Sent
+from .ordering import ENGINE_PRIORITIES, target_time
+from .outstanding import SentRequest
 from .pinned import POSTPONED_SECONDS, has_memory, refusal_of
 from .placement import PrefixPlacement
 from .placement_base import PlacementDecision, PlacementReason
@@ -60,7 +60,7 @@
         self.placement = placement
         self.fallback = LeastLoadedPlacement()
         self.draw = draw
-        self.sent: dict[RequestId, Sent] = {}
+        self.sent: dict[RequestId, SentRequest] = {}
 
     def drain(self, queue: ServiceQueue, now: float) -> list[Decision]:
         """Send the requests that the endpoints of a service can accept."""
@@ -105,7 +105,7 @@
             _late_message(request, now, prefill),
         )
 
-    def pop_sent(self, request_id: RequestId) -> Sent | None:
+    def pop_sent(self, request_id: RequestId) -> SentRequest | None:
         """Remove and return a sent request; None if unknown."""
         sent = self.sent.pop(request_id, None)
         if sent is not None:
@@ -224,7 +224,7 @@
     ) -> Dispatch:
         request = waiting.request
         parts = len(chosen.members) + 1
-        sent = Sent(
+        sent = SentRequest(
             waiting=waiting,
             endpoint=chosen.endpoint,
             members=chosen.members,
@@ -272,7 +272,7 @@
     share.
     """
     beyond_share = 0 if waiting.within_share else 1
-    return 2 * PRIORITY[waiting.request.band] + beyond_share
+    return 2 * ENGINE_PRIORITIES[waiting.request.band] + beyond_share
 
 
 def _late_message(request: RequestView, now: float, prefill: float) -> str:
--- a/packages/sycamore-core/src/sycamore_core/decisions/endpoint_book.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/endpoint_book.py
@@ -14,7 +14,7 @@
 from ..ids import EndpointId
 from ..states import EndpointKind, EndpointPhase, Outcome, RefusalReason
 from .health import EndpointHealth, Observation, ObservationKind
-from .outstanding import Sent
+from .outstanding import SentRequest
 from .scheduler import Refusal
 from .service_queue import ServiceQueue
 from .tracked import WINDOW_SECONDS, TrackedCandidate
@@ -72,7 +72,7 @@
             record = _EndpointRecord(queue, TrackedCandidate(view=view), view)
             self.entries[view.endpoint] = record
             queue.pool.put(record.candidate)
-        queue.speed.take_report(view)
+        queue.speed.apply_report(view)
         record.report = view
         record.candidate.apply_report(view)
         self._refresh(record)
@@ -98,10 +98,10 @@
             self._refresh(record)
             record.queue.pool.invalidate_live_weight()
 
-    def note_sent(self, sent: Sent) -> None:
+    def note_sent(self, sent: SentRequest) -> None:
         """Record that a request is offered to an endpoint or a group."""
         charged = self._records_of(sent)
-        sent.holders = tuple(record.candidate for record in charged)
+        sent.charged_candidates = tuple(record.candidate for record in charged)
         for record in charged:
             band = sent.waiting.request.band
             ahead = record.candidate.tokens_ahead(band)
@@ -113,7 +113,7 @@
             )
             self._refresh(record)
 
-    def note_accepted(self, sent: Sent, now: float) -> None:
+    def note_accepted(self, sent: SentRequest, now: float) -> None:
         """Record that the endpoint has accepted the request."""
         expected = WINDOW_SECONDS
         record = self.entries.get(sent.endpoint)
@@ -128,7 +128,7 @@
             now,
         )
 
-    def note_declined(self, sent: Sent, refusal: Refusal) -> None:
+    def note_declined(self, sent: SentRequest, refusal: Refusal) -> None:
         """Stop sending to endpoints that report being full or draining."""
         for record in self._records_of(sent):
             view = record.candidate.view
@@ -139,11 +139,11 @@
                 view.free_tokens = 0
             self._refresh(record)
 
-    def note_failed(self, sent: Sent, now: float) -> None:
+    def note_failed(self, sent: SentRequest, now: float) -> None:
         """Record that a request has failed at an endpoint."""
         self._observe(sent, Observation(kind=ObservationKind.FAILED), now)
 
-    def note_first_token(self, sent: Sent, now: float) -> None:
+    def note_first_token(self, sent: SentRequest, now: float) -> None:
         """Record the first token: the prompt has been computed."""
         for holder in self._charged_records(sent):
             holder.candidate.clear_pending(
@@ -167,7 +167,7 @@
             now,
         )
 
-    def note_gone(self, sent: Sent) -> None:
+    def note_gone(self, sent: SentRequest) -> None:
         """Record that a request no longer occupies its endpoints."""
         request = sent.waiting.request
         for record in self._charged_records(sent):
@@ -176,7 +176,7 @@
             record.candidate.remove_request(request, sent.lease_tokens)
             self._refresh(record)
 
-    def note_finished(self, sent: Sent, outcome: Outcome, now: float) -> None:
+    def note_finished(self, sent: SentRequest, outcome: Outcome, now: float) -> None:
         """Update health and speed estimates from the end of an answer."""
         record = self.entries.get(sent.endpoint)
         if sent.first_token_at is None or outcome == Outcome.FAILED:
@@ -191,12 +191,12 @@
         view = record.candidate.view
         seconds = now - sent.first_token_at
         if view.kind == EndpointKind.PLAIN:
-            record.queue.speed.take_call(now - sent.sent_at)
+            record.queue.speed.record_call(now - sent.sent_at)
         elif view.step_seconds > 0:
             tokens = 1 + seconds / view.step_seconds
-            record.queue.speed.take_output(sent.waiting.request, tokens)
+            record.queue.speed.record_output(sent.waiting.request, tokens)
 
-    def _charged_records(self, sent: Sent) -> Iterable[_EndpointRecord]:
+    def _charged_records(self, sent: SentRequest) -> Iterable[_EndpointRecord]:
         """Return the charged endpoints that have not been replaced since.
 
         Without this check, work sent before an endpoint was lost is deducted
@@ -206,15 +206,15 @@
         return [
             record
             for record in self._records_of(sent)
-            if any(record.candidate is holder for holder in sent.holders)
+            if any(record.candidate is holder for holder in sent.charged_candidates)
         ]
 
-    def _records_of(self, sent: Sent) -> Iterable[_EndpointRecord]:
+    def _records_of(self, sent: SentRequest) -> Iterable[_EndpointRecord]:
         found = (self.entries.get(name) for name in sent.endpoints)
         return [record for record in found if record is not None]
 
     def _observe(
-        self, sent: Sent, observation: Observation, now: float
+        self, sent: SentRequest, observation: Observation, now: float
     ) -> None:
         if sent.endpoint in self.entries:
             self.health.observe(sent.endpoint, observation, now)
--- a/packages/sycamore-core/src/sycamore_core/decisions/estimates.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/estimates.py
@@ -14,7 +14,7 @@
 
 from ..states import EndpointKind
 from .requests import RequestView
-from .views import ASSUMED_RATE, EndpointView
+from .views import ASSUMED_PREFILL_RATE, EndpointView
 
 #: Engine time per generated token before the first report, in seconds: the
 #: slope of the published fit, 2.7 ms, and its base of 10 ms shared by 16
@@ -73,24 +73,24 @@
         self.step_seconds: float = 0
         self.output_share = ASSUMED_OUTPUT_SHARE
 
-    def take_report(self, view: EndpointView) -> None:
+    def apply_report(self, view: EndpointView) -> None:
         """Update the estimates from a report of an endpoint."""
-        if view.telling_rate > 0:
+        if view.saturated_rate > 0:
             decayed = self.prefill_rate * (1 - DECAY_PER_REPORT)
-            self.prefill_rate = max(decayed, view.telling_rate)
+            self.prefill_rate = max(decayed, view.saturated_rate)
         if view.step_seconds > 0:
-            self.step_seconds = _smoothed(self.step_seconds, view.step_seconds)
+            self.step_seconds = _moving_average(self.step_seconds, view.step_seconds)
             self._apply_step(view)
 
-    def take_output(self, request: RequestView, tokens: float) -> None:
+    def record_output(self, request: RequestView, tokens: float) -> None:
         """Update the answer length from an answer of `tokens` tokens."""
         if request.max_output_tokens:
             share = min(1, tokens / request.max_output_tokens)
             self.output_share += SMOOTHING * (share - self.output_share)
 
-    def take_call(self, seconds: float) -> None:
+    def record_call(self, seconds: float) -> None:
         """Update the call time from a call of a plain service."""
-        self.call_seconds = _smoothed(self.call_seconds, seconds)
+        self.call_seconds = _moving_average(self.call_seconds, seconds)
 
     def cost(self, request: RequestView, new_tokens: int) -> float:
         """Return the cost of a request, in engine seconds."""
@@ -102,7 +102,7 @@
 
     def prefill_seconds(self, new_tokens: int) -> float:
         """Return the prefill time without contention, in seconds."""
-        return new_tokens / (self.prefill_rate or ASSUMED_RATE)
+        return new_tokens / (self.prefill_rate or ASSUMED_PREFILL_RATE)
 
     def answer_seconds(self, request: RequestView) -> float:
         """Return the time from the first token to the last, in seconds."""
@@ -178,7 +178,7 @@
         self._requests = 0
 
 
-def _smoothed(average: float, sample: float) -> float:
+def _moving_average(average: float, sample: float) -> float:
     if not average:
         return sample
     return average + SMOOTHING * (sample - average)
--- a/packages/sycamore-core/src/sycamore_core/decisions/fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/fair.py
@@ -22,7 +22,7 @@
 from ..ids import EndpointId, RequestId, ZoneId
 from ..settings import FleetSettings
 from ..states import Outcome, RefusalReason, RetryReason
-from .admission import judge
+from .admission import decide_admission
 from .backlog import Backlog
 from .dispatching import Decision, Dispatcher
 from .endpoint_book import EndpointBook
@@ -134,7 +134,7 @@
             return refusal
         waiting = queue.build_waiting(request)
         estimate = queue.estimate(waiting, now)
-        verdict = judge(request, estimate, now, self.draw)
+        verdict = decide_admission(request, estimate, now, self.draw)
         if verdict.reason is not None:
             queue.record_refused(request, now)
             return Refusal(
--- a/packages/sycamore-core/src/sycamore_core/decisions/long_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/long_limits.py
@@ -19,10 +19,10 @@
 
 #: Fraction of the memory of an engine that a long prompt leaves free. A quarter
 #: of 400,000 tokens holds 25 of the largest short requests at once.
-SHORT_ROOM_SHARE = 0.25
+SHORT_RESERVED_SHARE = 0.25
 #: Fraction left free by a prompt that a small fleet could not hold otherwise;
 #: of 400,000 tokens, it holds four short requests of 5,000 tokens at once.
-LEAST_ROOM_SHARE = 0.05
+MIN_RESERVED_SHARE = 0.05
 
 
 class LongLimits(msgspec.Struct, frozen=True):
@@ -83,19 +83,19 @@
     @property
     def largest_span(self) -> int:
         """Memory for long work on the largest engine if empty, in tokens."""
-        return math.floor(self.largest_engine * (1 - SHORT_ROOM_SHARE))
+        return math.floor(self.largest_engine * (1 - SHORT_RESERVED_SHARE))
 
-    def allow(self, candidate: Candidate, request: RequestView) -> bool:
+    def allows(self, candidate: Candidate, request: RequestView) -> bool:
         """Return whether an engine may run a long request without a split."""
         tokens = request.lease_tokens
-        if tokens > min(self.tokens, room_for_long(candidate)):
+        if tokens > min(self.tokens, long_capacity(candidate)):
             return False
         return self.engines > 0 or candidate.view.long_tokens > 0
 
 
-def room_for_long(
+def long_capacity(
     candidate: Candidate,
-    short_room_share: float = SHORT_ROOM_SHARE,
+    short_room_share: float = SHORT_RESERVED_SHARE,
 ) -> int:
     """Return the memory of an engine free for long work, in tokens."""
     view = candidate.view
--- a/packages/sycamore-core/src/sycamore_core/decisions/long_prompts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/long_prompts.py
@@ -17,10 +17,10 @@
 from ..ids import EndpointId, ZoneId
 from ..states import EndpointPhase
 from .long_limits import (
-    LEAST_ROOM_SHARE,
-    SHORT_ROOM_SHARE,
+    MIN_RESERVED_SHARE,
+    SHORT_RESERVED_SHARE,
     LongLimits,
-    room_for_long,
+    long_capacity,
 )
 from .pool import Candidate
 from .requests import RequestView
@@ -125,7 +125,7 @@
         for candidate in candidates
         if candidate.view.phase == EndpointPhase.LIVE
     )
-    for share in (SHORT_ROOM_SHARE, LEAST_ROOM_SHARE):
+    for share in (SHORT_RESERVED_SHARE, MIN_RESERVED_SHARE):
         if request.lease_tokens <= capacity * (1 - share):
             return share
     return None
@@ -143,7 +143,7 @@
         _EngineCapacity(
             candidate.view.endpoint,
             candidate.view.zone,
-            room_for_long(candidate, short_share),
+            long_capacity(candidate, short_share),
             has_long_work=candidate.view.long_tokens > 0,
         )
         for candidate in candidates
--- a/packages/sycamore-core/src/sycamore_core/decisions/ordering.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/ordering.py
@@ -49,7 +49,7 @@
 #: to long prompts, and prompts beyond 800,000 tokens miss their target.
 EMPHASIS_REDUCTION = 0.25
 #: Priority in the engine by band; a lower value is computed first.
-PRIORITY: Mapping[PromptBand, int] = MappingProxyType(
+ENGINE_PRIORITIES: Mapping[PromptBand, int] = MappingProxyType(
     {band: position for position, band in enumerate(PromptBand)},
 )
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/outstanding.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/outstanding.py
@@ -7,7 +7,7 @@
 from .tracked import TrackedCandidate
 
 
-class Sent(msgspec.Struct, kw_only=True, eq=False):
+class SentRequest(msgspec.Struct, kw_only=True, eq=False):
     """A request that was offered to an endpoint or runs there.
 
     Attributes
@@ -38,7 +38,7 @@
     new_tokens: int
     lease_tokens: int
     sent_at: float
-    holders: tuple[TrackedCandidate, ...] = ()
+    charged_candidates: tuple[TrackedCandidate, ...] = ()
     tokens_ahead: int = 0
     first_token_at: float | None = None
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/placement.py
@@ -124,7 +124,7 @@
         shortlist = Shortlist(request, pool, matches, draw)
         is_long = _is_long(request, limits)
         if is_long:
-            shortlist.fits = limits.allow
+            shortlist.fits = limits.allows
         self._add_options(shortlist)
         if shortlist.options:
             return self._choose_option(request, shortlist.options, matches, now)
@@ -197,7 +197,7 @@
         weight = 1 + RECOMPUTE_WEIGHT / max(1, matches.uses)
         endpoint = min(
             estimates,
-            key=lambda name: estimates[name].weighed_seconds(weight),
+            key=lambda name: estimates[name].weighted_seconds(weight),
         )
         chosen = options[endpoint]
         self.index.record(request.prefix_blocks, endpoint, now)
--- a/packages/sycamore-core/src/sycamore_core/decisions/replays.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/replays.py
@@ -7,7 +7,7 @@
 from ..errors import DecisionError, SettingsError
 from ..ids import EndpointId, RequestId, SettingsVersion
 from ..settings import FleetSettings, PolicySettings, resolve_tree
-from .admission import judge
+from .admission import decide_admission
 from .explain_cases import (
     AdmissionCase,
     Case,
@@ -45,7 +45,7 @@
 
 @replay.register
 def _replay_admission(case: AdmissionCase) -> Explanation:
-    verdict = judge(
+    verdict = decide_admission(
         case.request,
         case.estimate,
         case.now,
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_long_prompts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_long_prompts.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 
 from sycamore_core.decisions.long_limits import (
-    LEAST_ROOM_SHARE,
-    SHORT_ROOM_SHARE,
+    MIN_RESERVED_SHARE,
+    SHORT_RESERVED_SHARE,
     LongLimits,
-    room_for_long,
+    long_capacity,
 )
 from sycamore_core.decisions.long_prompts import (
     GroupReason,
@@ -70,8 +70,8 @@
     requests.
     """
     pool = build_pool(3)
-    assert short_capacity_share(build_long(800_000), pool) == SHORT_ROOM_SHARE
-    assert short_capacity_share(build_long(1_000_000), pool) == LEAST_ROOM_SHARE
+    assert short_capacity_share(build_long(800_000), pool) == SHORT_RESERVED_SHARE
+    assert short_capacity_share(build_long(1_000_000), pool) == MIN_RESERVED_SHARE
     assert plan(1_000_000, pool).reason == GroupReason.FORMED
 
 
@@ -127,6 +127,6 @@
     share = short_capacity_share(request, pool)
     for span in spans:
         candidate = pool.find(span.endpoint)
-        assert 0 < span.tokens <= room_for_long(candidate, share)
+        assert 0 < span.tokens <= long_capacity(candidate, share)
         reserved_tokens = candidate.view.capacity_tokens * share
         assert candidate.view.free_tokens - span.tokens >= reserved_tokens
--- a/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
@@ -20,10 +20,10 @@
 from ..ids import EndpointId
 from ..states import EndpointKind, EndpointPhase, PromptBand
 from .batch_limit import EXPECTED_STEPS, BatchLimit
-from .ordering import PRIORITY
+from .ordering import ENGINE_PRIORITIES
 from .pool import Candidate, CandidatePool
 from .requests import RequestView
-from .views import ASSUMED_RATE, EndpointView
+from .views import ASSUMED_PREFILL_RATE, EndpointView
 
 #: Prefill that may be queued at an engine while further requests are sent, in
 #: seconds: a fifth of the tightest target, 0.49 s.
@@ -77,7 +77,7 @@
     @property
     def rate(self) -> float:
         """Prefill rate, in tokens per second."""
-        return self.view.service_rate or ASSUMED_RATE
+        return self.view.service_rate or ASSUMED_PREFILL_RATE
 
     @property
     def present(self) -> int:
@@ -87,7 +87,7 @@
     @property
     def is_calm(self) -> bool:
         """Whether the endpoint probably computes no long prompt."""
-        if any(self.pending[PRIORITY[PromptBand.LONG] :]):
+        if any(self.pending[ENGINE_PRIORITIES[PromptBand.LONG] :]):
             return False
         return self.view.backlog_tokens < self.rate * LONG_BACKLOG_SECONDS
 
@@ -97,7 +97,7 @@
 
     def is_open(self, band: PromptBand) -> bool:
         """Return whether more work of a band may be queued at the endpoint."""
-        return PRIORITY[band] < self.open_bands
+        return ENGINE_PRIORITIES[band] < self.open_bands
 
     def refresh(self) -> None:
         """Recompute for how many bands it is open, shortest bands first."""
@@ -106,7 +106,7 @@
             return
         if self.view.kind == EndpointKind.PLAIN:
             if self.present < MAX_PLAIN_CALLS:
-                self.open_bands = len(PRIORITY)
+                self.open_bands = len(ENGINE_PRIORITIES)
             return
         if self.present >= self.batch_limit.requests:
             return
@@ -119,7 +119,7 @@
 
     def tokens_ahead(self, band: PromptBand) -> int:
         """Return the prompt tokens that the engine computes up to a band."""
-        return sum(self.pending[: PRIORITY[band] + 1])
+        return sum(self.pending[: ENGINE_PRIORITIES[band] + 1])
 
     def apply_report(self, report: EndpointView) -> None:
         """Apply a report, minus the work of this entry.
@@ -130,7 +130,7 @@
         that no work is counted twice.
         """
         view = copy.copy(report)
-        view.service_rate = report.telling_rate or self.view.service_rate
+        view.service_rate = report.saturated_rate or self.view.service_rate
         own_requests = max(self.sent_requests, self.requests_at_report)
         view.running = max(0, report.running + report.waiting - own_requests)
         view.waiting = 0
@@ -170,7 +170,7 @@
         steps = EXPECTED_STEPS * self.view.step_seconds
         if steps:
             delay_seconds = seconds - steps - tokens_ahead / self.rate
-            self.batch_limit.note_first_token(delay_seconds, self.present)
+            self.batch_limit.record_first_token(delay_seconds, self.present)
 
     def remove_request(self, request: RequestView, lease_tokens: int) -> None:
         """Record that a request is no longer at the endpoint."""
@@ -178,7 +178,7 @@
         self._add_lease(request, -lease_tokens)
 
     def _add_pending(self, request: RequestView, tokens: int) -> None:
-        self.pending[PRIORITY[request.band]] += tokens
+        self.pending[ENGINE_PRIORITIES[request.band]] += tokens
         self.sent_new_tokens += tokens
 
     def _add_lease(self, request: RequestView, lease_tokens: int) -> None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/views.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/views.py
@@ -6,7 +6,7 @@
 from ..states import EndpointKind, EndpointPhase
 
 #: Prefill rate before an endpoint has reported one, in tokens per second.
-ASSUMED_RATE = 10_000.0
+ASSUMED_PREFILL_RATE = 10_000.0
 #: Number of waiting prompt tokens from which the steps of an engine are full
 #: and its prefill rate shows its speed: one chunk.
 FULL_STEP_TOKENS = 4096
@@ -47,7 +47,7 @@
     cached_blocks: frozenset[int] = frozenset()
 
     @property
-    def telling_rate(self) -> float:
+    def saturated_rate(self) -> float:
         """Prefill rate if it shows the speed of the engine, else 0.
 
         A step with the few tokens of a short request still takes its base
@@ -57,6 +57,6 @@
         tokens in flight.
         """
         is_full = self.backlog_tokens >= FULL_STEP_TOKENS
-        if is_full or self.service_rate >= ASSUMED_RATE:
+        if is_full or self.service_rate >= ASSUMED_PREFILL_RATE:
             return self.service_rate
         return 0
