--- a/benchmarks/forwarding_capacity.py
+++ b/benchmarks/forwarding_capacity.py
@@ -14,7 +14,7 @@
     Assignment,
     CellView,
     KnownEngine,
-    LoadBook,
+    LoadRegistry,
     ReadRequest,
     plan_in_cells,
 )
@@ -78,9 +78,9 @@
     return statistics.median(times) * _MICRO
 
 
-def book_of(engines: int) -> LoadBook:
+def book_of(engines: int) -> LoadRegistry:
     """Return a book with a stream at every third engine."""
-    book = LoadBook()
+    book = LoadRegistry()
     for number in range(0, engines, 3):
         assignment = Assignment(read_ms=30, context_tokens=5000, pause_ms=250)
         request = RequestId(f'r{number}')
@@ -89,7 +89,7 @@
 
 
 def place(
-    book: LoadBook,
+    book: LoadRegistry,
     engines: Sequence[KnownEngine],
     zones: int,
     request: ReadRequest,
@@ -156,18 +156,18 @@
     """Print the row of one size of update."""
     update = update_of(shares)
     packet = codec.encode([update], 1)
-    book = LoadBook()
+    book = LoadRegistry()
     write = microseconds(lambda: codec.encode([update], 1))
     read = microseconds(lambda: take(codec, packet, book))
     times = f'{write:9.1f} {read:9.1f}'
     typer.echo(f'{shares:3} shares {len(packet):6} {times}')
 
 
-def take(codec: PacketCodec, packet: bytes, book: LoadBook) -> None:
+def take(codec: PacketCodec, packet: bytes, book: LoadRegistry) -> None:
     """Read an update and note it."""
     for update in codec.decode(packet).messages:
         if isinstance(update, LoadUpdate):
-            book.hear(PeerId('p'), update.shares, now=1, is_whole=False)
+            book.apply_update(PeerId('p'), update.shares, now=1, is_full=False)
 
 
 if __name__ == '__main__':
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/__init__.py
@@ -16,8 +16,8 @@
 from .isolation import is_isolated
 from .load_registry import (
     STALE_SECONDS,
-    WHOLE_SECONDS,
-    LoadBook,
+    FULL_UPDATE_SECONDS,
+    LoadRegistry,
 )
 from .overdue import is_overdue
 from .plain_choice import choose_plain
@@ -25,7 +25,7 @@
 from .pressure import PredictedDemand, ShortRequestMeter
 from .quarantine import Quarantine
 from .rate_limits import RateLimits
-from .read_plan import is_turn, plan_read
+from .read_plan import is_short_request, plan_read
 from .retry_allowance import AllowanceBounds, RetryAllowance
 from .return_times import (
     CallerTime,
@@ -39,13 +39,13 @@
 )
 from .suspect_places import SuspectPlaces
 from .trials import granting_entry, may_grant
-from .update_pace import TELL_SECONDS, UpdatePace
+from .update_pace import UPDATE_INTERVAL_SECONDS, UpdateRateLimit
 from .worth import is_worth_reading
 
 __all__ = (
     'STALE_SECONDS',
-    'TELL_SECONDS',
-    'WHOLE_SECONDS',
+    'UPDATE_INTERVAL_SECONDS',
+    'FULL_UPDATE_SECONDS',
     'AllowanceBounds',
     'AskedRests',
     'AttemptEnd',
@@ -56,7 +56,7 @@
     'EngineWork',
     'FailureBook',
     'KnownEngine',
-    'LoadBook',
+    'LoadRegistry',
     'NextStep',
     'PredictedDemand',
     'Quarantine',
@@ -67,7 +67,7 @@
     'Assignment',
     'SuspectPlaces',
     'ShortRequestMeter',
-    'UpdatePace',
+    'UpdateRateLimit',
     'after_full',
     'after_hold',
     'after_limit',
@@ -79,7 +79,7 @@
     'granting_entry',
     'is_isolated',
     'is_overdue',
-    'is_turn',
+    'is_short_request',
     'is_worth_reading',
     'may_grant',
     'next_step',
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/assignments.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/assignments.py
@@ -17,7 +17,7 @@
     promised_at
         Time at which the first event is due, on the monotonic clock.
     """
-    helper_tokens = dict(plan.stored)
+    helper_tokens = dict(plan.helper_tokens)
     tokens = request.prompt_tokens + request.answer_tokens
     assignments = {
         helper: Assignment(
@@ -26,11 +26,11 @@
             promised_at=promised_at,
             is_ahead=True,
             memory_tokens=helper_tokens.get(helper, 0),
-            is_home=False,
+            is_primary=False,
         )
         for helper in plan.helpers
     }
-    assignments[plan.home] = Assignment(
+    assignments[plan.primary] = Assignment(
         read_ms=plan.part_ms,
         weight=request.weight,
         promised_at=promised_at,
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/cells.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/cells.py
@@ -22,9 +22,9 @@
 from ...ids import EndpointId, ZoneId
 from ...routing import EngineCosts
 from .engine_harm import Candidate
-from .load_registry import LoadBook
+from .load_registry import LoadRegistry
 from .plan import ReadPlan, ReadRequest
-from .read_plan import is_turn, plan_read
+from .read_plan import is_short_request, plan_read
 
 #: Plan cost from which other cells are considered for a short request, as a
 #: fraction of the request's own weight. Below it, no objective is missed.
@@ -75,21 +75,21 @@
 
     Attributes
     ----------
-    penalty, tie
+    penalty, tie_break
         As in `Candidate`.
     """
 
     endpoint: EndpointId
     zone: ZoneId
     penalty: float = 0
-    tie: float = 0
+    tie_break: float = 0
 
 
 def plan_in_cells(
     request: ReadRequest,
     engines: Sequence[KnownEngine],
     view: CellView,
-    registry: LoadBook,
+    registry: LoadRegistry,
     costs: EngineCosts,
     now: float,
 ) -> ReadPlan | None:
@@ -105,7 +105,7 @@
         for engine in engines
         if view.owns(engine.zone)
     ]
-    plan = plan_read(request, local, costs, registry.pressure(now))
+    plan = plan_read(request, local, costs, registry.predicted_demand(now))
     spill_cost = request.weight * _spill_fraction(request, costs)
     is_good = plan is not None and plan.cost < spill_cost
     if is_good or len(local) == len(engines):
@@ -115,7 +115,7 @@
         for engine in engines
         if not view.owns(engine.zone)
     ]
-    demand = registry.pressure(now, everywhere=True)
+    demand = registry.predicted_demand(now, everywhere=True)
     wider = plan_read(request, [*local, *remote], costs, demand)
     if plan is None or wider is None:
         return plan or wider
@@ -124,7 +124,7 @@
 
 def _candidate(
     engine: KnownEngine,
-    registry: LoadBook,
+    registry: LoadRegistry,
     now: float,
     distance_cost: float = 0,
 ) -> Candidate:
@@ -132,11 +132,11 @@
         engine.endpoint,
         registry.load(engine.endpoint, now),
         engine.penalty + distance_cost,
-        engine.tie,
+        engine.tie_break,
     )
 
 
 def _spill_fraction(request: ReadRequest, costs: EngineCosts) -> float:
-    if is_turn(costs, request.prompt_tokens):
+    if is_short_request(costs, request.prompt_tokens):
         return _SHORT_SPILL_FRACTION
     return _LONG_SPILL_FRACTION
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_work.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_work.py
@@ -35,7 +35,7 @@
     pause_ms
         Longest pause between two events that the objective allows, in
         milliseconds; 0 if there is no such objective.
-    is_home
+    is_primary
         Whether this engine generates the answer.
     is_ahead
         Whether it is a part of a split prompt. Engines read such parts ahead
@@ -52,7 +52,7 @@
     context_tokens: int = 0
     memory_tokens: int = 0
     pause_ms: float = 0
-    is_home: bool = True
+    is_primary: bool = True
     is_ahead: bool = False
     is_generating: bool = False
     sent_at: float = 0
@@ -96,7 +96,7 @@
         weights: dict[float, float] = {}
         for request_id, assignment in self.assignments.items():
             load.memory_tokens += assignment.memory_tokens
-            if assignment.is_home:
+            if assignment.is_primary:
                 _add_primary(load, assignment, weights)
             if not assignment.is_generating:
                 unread.append(_unread(request_id, assignment, now))
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/isolation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/isolation.py
@@ -17,31 +17,31 @@
 
 
 def is_isolated(
-    peer_heard_at: float | None,
+    last_report_at: float | None,
     now: float,
     *,
-    platform_away: bool,
+    platform_unreachable: bool,
 ) -> bool:
     """Return whether an entry is separated from the rest of the fleet.
 
     Parameters
     ----------
-    peer_heard_at
+    last_report_at
         Time of the last report from another entry, on the monotonic clock.
         None if no report has arrived: an entry without peers cannot hand its
         callers over.
-    platform_away
+    platform_unreachable
         Whether the platform does not answer this entry.
 
     Examples
     --------
-    >>> is_isolated(10, 13, platform_away=True)
+    >>> is_isolated(10, 13, platform_unreachable=True)
     True
-    >>> is_isolated(10, 13, platform_away=False)
+    >>> is_isolated(10, 13, platform_unreachable=False)
     False
-    >>> is_isolated(None, 13, platform_away=True)
+    >>> is_isolated(None, 13, platform_unreachable=True)
     False
     """
-    if peer_heard_at is None or not platform_away:
+    if last_report_at is None or not platform_unreachable:
         return False
-    return now - peer_heard_at > SILENCE_TIMEOUT_SECONDS
+    return now - last_report_at > SILENCE_TIMEOUT_SECONDS
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/load_registry.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/load_registry.py
@@ -16,7 +16,7 @@
 from .pressure import PredictedDemand, ShortRequestMeter
 
 #: Time between two full updates of an entry, in seconds.
-WHOLE_SECONDS = 1.0
+FULL_UPDATE_SECONDS = 1.0
 #: Age from which a peer's report is ignored, in seconds. A peer sends a full
 #: update every second. If three in a row are missing, the peer is gone or cut
 #: off, and its requests have ended or end soon.
@@ -69,7 +69,7 @@
     engines: frozenset[EndpointId] = frozenset()
 
 
-class LoadBook:
+class LoadRegistry:
     """Loads of engines, by endpoint.
 
     Reports of peers are stored by engine. The cost of a decision thus depends
@@ -77,13 +77,13 @@
 
     Attributes
     ----------
-    turns
+    short_requests
         Arrivals and residence times of this entry's short requests.
     changed
-        Endpoints at which own work has begun or ended since `take_changed`.
-    heard
+        Endpoints at which own work has begun or ended since `pop_changed`.
+    peer_loads
         Load that each peer reports for an engine.
-    totals
+    cell_loads
         Load of all other entries at an engine, as the cell of the engine
         reports it.
     """
@@ -91,11 +91,11 @@
     def __init__(self) -> None:
         self.own: dict[EndpointId, EngineWork] = {}
         self.peers: dict[PeerId, PeerRecord] = {}
-        self.heard: dict[EndpointId, dict[PeerId, ReportedLoad]] = {}
-        self.totals: dict[EndpointId, ReportedLoad] = {}
+        self.peer_loads: dict[EndpointId, dict[PeerId, ReportedLoad]] = {}
+        self.cell_loads: dict[EndpointId, ReportedLoad] = {}
         self.cells: dict[ZoneId, CellRecord] = {}
         self.changed: set[EndpointId] = set()
-        self.turns = ShortRequestMeter()
+        self.short_requests = ShortRequestMeter()
 
     def begin(
         self,
@@ -109,7 +109,7 @@
             work.add(request_id, assignment, now)
             self.changed.add(endpoint)
 
-    def first_token(
+    def record_first_token(
         self,
         request_id: RequestId,
         endpoints: Iterable[EndpointId],
@@ -138,58 +138,58 @@
 
     def load(self, endpoint: EndpointId, now: float) -> EngineLoad:
         """Return the load of an engine."""
-        total = self.totals.get(endpoint)
+        total = self.cell_loads.get(endpoint)
         if total is not None and now - total.reported_at < STALE_SECONDS:
             load = self._own_load(endpoint, now)
             load.add(total.load, now - total.reported_at)
             return load
         return self._load_in_cell(endpoint, now)
 
-    def news_age(self, endpoint: EndpointId, now: float) -> float | None:
+    def report_age(self, endpoint: EndpointId, now: float) -> float | None:
         """Return the age of the oldest report that `load` uses, in seconds.
 
         None if there is no report of the engine.
         """
-        total = self.totals.get(endpoint)
+        total = self.cell_loads.get(endpoint)
         if total is not None and now - total.reported_at < STALE_SECONDS:
             return now - total.reported_at
-        reports = self.heard.get(endpoint, _NO_REPORTS).values()
+        reports = self.peer_loads.get(endpoint, _NO_REPORTS).values()
         ages = [now - report.reported_at for report in reports]
         return max(ages, default=None)
 
-    def hear(
+    def apply_update(
         self,
         peer: PeerId,
         shares: Iterable[EngineShare],
         now: float,
         *,
-        is_whole: bool,
-        turns_per_s: float = 0,
+        is_full: bool,
+        short_requests_per_s: float = 0,
     ) -> None:
         """Apply a peer's report of its work.
 
         Parameters
         ----------
-        is_whole
+        is_full
             Whether the update is full; otherwise it has only the engines at
             which the work changed.
-        turns_per_s
+        short_requests_per_s
             Short requests that arrive at the peer per second.
         """
-        if is_whole:
-            self.forget(peer)
+        if is_full:
+            self.remove_peer(peer)
         record = self.peers.setdefault(peer, PeerRecord(now))
         record.reported_at = now
-        record.short_requests_per_s = turns_per_s
+        record.short_requests_per_s = short_requests_per_s
         for share in shares:
             self._apply_share(peer, record, share, now)
 
-    def hear_cell(
+    def apply_cell_summary(
         self,
         zone: ZoneId,
         shares: Iterable[EngineShare],
         now: float,
-        turns_per_s: float = 0,
+        short_requests_per_s: float = 0,
     ) -> None:
         """Apply a report of the engines of another cell.
 
@@ -197,7 +197,7 @@
         ----------
         shares
             Load of all entries except this one; idle engines are left out.
-        turns_per_s
+        short_requests_per_s
             Short requests that arrive in that cell per second.
         """
         previous = self.cells.get(zone, CellRecord(now))
@@ -205,11 +205,11 @@
             share.endpoint: ReportedLoad(share.load, now) for share in shares
         }
         for endpoint in previous.engines:
-            self.totals.pop(endpoint, None)
-        self.totals.update(busy)
-        self.cells[zone] = CellRecord(now, turns_per_s, frozenset(busy))
+            self.cell_loads.pop(endpoint, None)
+        self.cell_loads.update(busy)
+        self.cells[zone] = CellRecord(now, short_requests_per_s, frozenset(busy))
 
-    def pressure(
+    def predicted_demand(
         self, now: float, *, everywhere: bool = False
     ) -> PredictedDemand:
         """Return the short requests that are expected to arrive.
@@ -228,11 +228,11 @@
             if now - source.reported_at < STALE_SECONDS
         ]
         return PredictedDemand(
-            turns_per_s=self.turns.rate(now) + sum(reported_rates),
-            slot_seconds=self.turns.stay_seconds,
+            short_requests_per_s=self.short_requests.rate(now) + sum(reported_rates),
+            slot_seconds=self.short_requests.slot_seconds,
         )
 
-    def forget(self, peer: PeerId) -> None:
+    def remove_peer(self, peer: PeerId) -> None:
         """Remove the reports of a peer that has restarted or is gone."""
         record = self.peers.pop(peer, None)
         if record is None:
@@ -240,7 +240,7 @@
         for endpoint in record.engines:
             self._remove_load(peer, endpoint)
 
-    def shares(
+    def own_shares(
         self,
         endpoints: Iterable[EndpointId],
         now: float,
@@ -251,13 +251,13 @@
             for endpoint in endpoints
         )
 
-    def take_changed(self) -> set[EndpointId]:
+    def pop_changed(self) -> set[EndpointId]:
         """Return the endpoints at which own work changed and clear the set."""
         changed = self.changed
         self.changed = set()
         return changed
 
-    def near_shares(
+    def cell_shares(
         self,
         endpoints: Iterable[EndpointId],
         now: float,
@@ -288,7 +288,7 @@
         excluded: PeerId | None = None,
     ) -> EngineLoad:
         load = self._own_load(endpoint, now)
-        for peer, report in self.heard.get(endpoint, _NO_REPORTS).items():
+        for peer, report in self.peer_loads.get(endpoint, _NO_REPORTS).items():
             is_fresh = now - self.peers[peer].reported_at < STALE_SECONDS
             if is_fresh and peer != excluded:
                 load.add(report.load, now - report.reported_at)
@@ -310,11 +310,11 @@
             self._remove_load(peer, share.endpoint)
             return
         record.engines.add(share.endpoint)
-        reports = self.heard.setdefault(share.endpoint, {})
+        reports = self.peer_loads.setdefault(share.endpoint, {})
         reports[peer] = ReportedLoad(share.load, now)
 
     def _remove_load(self, peer: PeerId, endpoint: EndpointId) -> None:
-        reports = self.heard.get(endpoint, {})
+        reports = self.peer_loads.get(endpoint, {})
         reports.pop(peer, None)
         if not reports:
-            self.heard.pop(endpoint, None)
+            self.peer_loads.pop(endpoint, None)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/overdue.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/overdue.py
@@ -20,7 +20,7 @@
 from ...ids import EndpointId, RequestId
 from ...routing import EngineCosts
 from .engine_work import request_key
-from .load_registry import LoadBook
+from .load_registry import LoadRegistry
 from .pass_forecast import PassForecast, nominal_forecast
 
 #: Remaining time up to which a prompt counts as overdue, in milliseconds: two
@@ -31,7 +31,7 @@
 def is_overdue(
     request_id: RequestId,
     members: Iterable[EndpointId],
-    registry: LoadBook,
+    registry: LoadRegistry,
     costs: EngineCosts,
     now: float,
 ) -> bool:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/plan.py
@@ -47,7 +47,7 @@
 
     Attributes
     ----------
-    home
+    primary
         Engine that receives the request and generates the answer.
     helpers
         Engines that read parts of the prompt for it.
@@ -55,24 +55,24 @@
         Time that each engine needs for its part, in milliseconds.
     expected_ms
         Expected time to the first event, in milliseconds.
-    stored
+    helper_tokens
         Prompt tokens that each helper keeps in its memory, by endpoint, if
         the prompt exceeds the memory of the engine that generates.
     cost
         Expected loss, in missed objectives of short requests.
-    harm
+    interference
         Part of the cost that other requests bear.
     """
 
-    home: EndpointId
+    primary: EndpointId
     helpers: tuple[EndpointId, ...] = ()
     part_ms: float = 0
     expected_ms: float = 0
-    stored: tuple[tuple[EndpointId, int], ...] = ()
+    helper_tokens: tuple[tuple[EndpointId, int], ...] = ()
     cost: float = 0
-    harm: float = 0
+    interference: float = 0
 
     @property
     def members(self) -> tuple[EndpointId, ...]:
         """All engines that take part; the one that generates comes first."""
-        return (self.home, *self.helpers)
+        return (self.primary, *self.helpers)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/pressure.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/pressure.py
@@ -28,13 +28,13 @@
 
     Attributes
     ----------
-    turns_per_s
+    short_requests_per_s
         Arrivals per second at all entries together.
     slot_seconds
         Residence time of a short request in its slot, in seconds.
     """
 
-    turns_per_s: float = 0
+    short_requests_per_s: float = 0
     slot_seconds: float = _INITIAL_SLOT_SECONDS
 
     def overflow(
@@ -54,12 +54,12 @@
         Examples
         --------
         >>> PredictedDemand(
-        ...     turns_per_s=40, slot_seconds=2,
+        ...     short_requests_per_s=40, slot_seconds=2,
         ... ).overflow(2, 30, 20)
         30
         """
         released = busy_slots * min(1, seconds / self.slot_seconds)
-        return max(0, self.turns_per_s * seconds - free_slots - released)
+        return max(0, self.short_requests_per_s * seconds - free_slots - released)
 
 
 class ShortRequestMeter:
@@ -69,25 +69,25 @@
     --------
     >>> meter = ShortRequestMeter()
     >>> for arrival in range(400):
-    ...     meter.arrived(arrival / 40)
+    ...     meter.record_arrival(arrival / 40)
     >>> round(meter.rate(10), -1)
     40.0
     """
 
     def __init__(self) -> None:
-        self.stay_seconds = _INITIAL_SLOT_SECONDS
+        self.slot_seconds = _INITIAL_SLOT_SECONDS
         self._level: float = 0
         self._updated_at: float = 0
 
-    def arrived(self, now: float) -> None:
+    def record_arrival(self, now: float) -> None:
         """Record the arrival of a short request."""
         self._level = self._decayed(now) + 1
         self._updated_at = now
 
-    def ended(self, seconds: float) -> None:
+    def record_end(self, seconds: float) -> None:
         """Record the residence time of a request that has ended."""
-        self.stay_seconds += (
-            seconds - self.stay_seconds
+        self.slot_seconds += (
+            seconds - self.slot_seconds
         ) * _SLOT_SECONDS_WEIGHT
 
     def rate(self, now: float) -> float:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/rate_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/rate_limits.py
@@ -27,7 +27,7 @@
 from ...hashes import stable_part
 from ...ids import EndpointId, EntryId, PeerId
 from ...routing import EndpointLifetime, LimitReport
-from .recent_sends import SLOT_SECONDS, SLOTS, HeardSends, RecentSends
+from .recent_sends import AGE_BUCKET_SECONDS, AGE_BUCKETS, PeerSends, RecentSends
 
 #: How long a limit is valid without a further answer that repeats it, in
 #: seconds. An endpoint in use repeats the limit in each answer.
@@ -96,7 +96,7 @@
         self.entry = entry
         self.entries = 1
         self.reported: dict[EndpointLifetime, ReportedLimit] = {}
-        self.peer_sends: dict[EndpointLifetime, dict[PeerId, HeardSends]] = {}
+        self.peer_sends: dict[EndpointLifetime, dict[PeerId, PeerSends]] = {}
         self.part: float = 1
         self.own_sends = RecentSends()
 
@@ -129,7 +129,7 @@
         Endpoints without a limit are included, because the next answer of any
         endpoint may contain one.
         """
-        self.own_sends.note(endpoint, now)
+        self.own_sends.record(endpoint, now)
 
     def limit(self, endpoint: EndpointLifetime, now: float) -> float | None:
         """Return the limit in force, in requests per second, or None."""
@@ -156,7 +156,7 @@
 
         Other requests in the meantime are not taken into account.
         """
-        delays = (SLOT_SECONDS * slot for slot in range(SLOTS))
+        delays = (AGE_BUCKET_SECONDS * slot for slot in range(AGE_BUCKETS))
         possible = (
             delay for delay in delays if self.has_room(endpoint, now + delay)
         )
@@ -182,7 +182,7 @@
             if self.limit(report.endpoint, now) != previous:
                 changed.append(report.endpoint)
             by_peer = self.peer_sends.setdefault(report.endpoint, {})
-            by_peer[peer] = HeardSends(report.sends, now)
+            by_peer[peer] = PeerSends(report.sends, now)
         return changed
 
     def reports(
@@ -193,7 +193,7 @@
         """Return the reports to peers about some endpoints."""
         return tuple(
             self._build_report(
-                lifetime, now, self.own_sends.by_age(lifetime, now)
+                lifetime, now, self.own_sends.counts_by_age(lifetime, now)
             )
             for lifetime in self.reported
             if lifetime.endpoint in endpoints
@@ -208,7 +208,7 @@
         self._drop_expired(now)
         found = []
         for lifetime, reported in self.reported.items():
-            slots = self.own_sends.by_age(lifetime, now)
+            slots = self.own_sends.counts_by_age(lifetime, now)
             if any(slots) or now - reported.reported_at < _RECENT_SECONDS:
                 found.append(self._build_report(lifetime, now, slots))
         return tuple(found)
@@ -262,10 +262,10 @@
         seconds: float,
         now: float,
     ) -> int:
-        own_count = self.own_sends.since(endpoint, now - seconds)
+        own_count = self.own_sends.count_since(endpoint, now - seconds)
         peer_sends = self.peer_sends.get(endpoint, {}).values()
         return own_count + sum(
-            sends.within(seconds, now) for sends in peer_sends
+            sends.count_within(seconds, now) for sends in peer_sends
         )
 
     def _build_report(
@@ -285,10 +285,10 @@
         excluded_peer: PeerId,
     ) -> list[int]:
         """Return the sends by age of all known entries except one."""
-        by_sender = [self.own_sends.by_age(endpoint, now)]
+        by_sender = [self.own_sends.counts_by_age(endpoint, now)]
         for peer, sends in self.peer_sends.get(endpoint, {}).items():
             if peer != excluded_peer:
-                by_sender.append(sends.aged(now))
+                by_sender.append(sends.counts_at(now))
         return [sum(slot) for slot in zip(*by_sender, strict=True)]
 
     def _drop_expired(self, now: float) -> None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/read_plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/read_plan.py
@@ -65,7 +65,7 @@
 _NO_DEMAND = PredictedDemand()
 
 
-def is_turn(costs: EngineCosts, prompt_tokens: int) -> bool:
+def is_short_request(costs: EngineCosts, prompt_tokens: int) -> bool:
     """Return whether a prompt is short, so that one engine reads it alone."""
     return costs.read_ms(prompt_tokens) <= MIN_SPLIT_MS
 
@@ -87,7 +87,7 @@
         EngineInterference(candidate, costs, request.prompt_tokens)
         for candidate in candidates
     ]
-    is_short = is_turn(costs, request.prompt_tokens)
+    is_short = is_short_request(costs, request.prompt_tokens)
     planner = _Planner(request, engines, demand, is_short=is_short)
     if not planner.primaries:
         return None
@@ -148,11 +148,11 @@
         cost = costs[chosen]
         expected = _expected_ms((primary,), read_ms)
         return ReadPlan(
-            home=primary.endpoint,
+            primary=primary.endpoint,
             part_ms=read_ms,
             expected_ms=expected,
             cost=cost,
-            harm=cost - self._lateness_cost(expected),
+            interference=cost - self._lateness_cost(expected),
         )
 
     def plan_long(
@@ -213,13 +213,13 @@
         expected = _expected_ms(members, part_ms)
         interference = self._split_interference(members, part_ms)
         return ReadPlan(
-            home=primary.endpoint,
+            primary=primary.endpoint,
             helpers=tuple(helper.endpoint for helper in helpers),
             part_ms=part_ms,
             expected_ms=expected,
-            stored=helper_tokens,
+            helper_tokens=helper_tokens,
             cost=self._lateness_cost(expected) + interference,
-            harm=interference,
+            interference=interference,
         )
 
     def _split_interference(
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/recent_sends.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/recent_sends.py
@@ -9,11 +9,11 @@
 from ...routing import EndpointLifetime
 
 #: Width of the age buckets in which sent requests are reported, in seconds.
-SLOT_SECONDS = 0.25
+AGE_BUCKET_SECONDS = 0.25
 #: Number of age buckets. They cover the longest window of a rate limit and the
 #: time that an entry waits beyond it.
-SLOTS = 20
-_RETENTION_SECONDS = SLOTS * SLOT_SECONDS
+AGE_BUCKETS = 20
+_RETENTION_SECONDS = AGE_BUCKETS * AGE_BUCKET_SECONDS
 
 
 class RecentSends:
@@ -22,11 +22,11 @@
     Examples
     --------
     >>> sends = RecentSends()
-    >>> sends.note('e1', 10)
-    >>> sends.note('e1', 11)
-    >>> sends.since('e1', 10.5)
+    >>> sends.record('e1', 10)
+    >>> sends.record('e1', 11)
+    >>> sends.count_since('e1', 10.5)
     1
-    >>> sends.by_age('e1', 11)[:5]
+    >>> sends.counts_by_age('e1', 11)[:5]
     [1, 0, 0, 0, 1]
     """
 
@@ -34,7 +34,7 @@
         self.times: dict[EndpointLifetime, deque[float]] = {}
         self._in_order: deque[tuple[float, EndpointLifetime]] = deque()
 
-    def note(self, endpoint: EndpointLifetime, now: float) -> None:
+    def record(self, endpoint: EndpointLifetime, now: float) -> None:
         """Record a sent request and remove requests that are too old."""
         self._in_order.append((now, endpoint))
         self.times.setdefault(endpoint, deque()).append(now)
@@ -42,17 +42,17 @@
         while self._in_order[0][0] < begin:
             self._remove_oldest()
 
-    def since(self, endpoint: EndpointLifetime, begin: float) -> int:
+    def count_since(self, endpoint: EndpointLifetime, begin: float) -> int:
         """Return the number of requests sent after a time."""
         return sum(at > begin for at in self.times.get(endpoint, ()))
 
-    def by_age(self, endpoint: EndpointLifetime, now: float) -> list[int]:
+    def counts_by_age(self, endpoint: EndpointLifetime, now: float) -> list[int]:
         """Return the number of sent requests in each age bucket."""
         counts = Counter(
-            int((now - at) / SLOT_SECONDS)
+            int((now - at) / AGE_BUCKET_SECONDS)
             for at in self.times.get(endpoint, ())
         )
-        return [counts[bucket] for bucket in range(SLOTS)]
+        return [counts[bucket] for bucket in range(AGE_BUCKETS)]
 
     def _remove_oldest(self) -> None:
         _, endpoint = self._in_order.popleft()
@@ -62,7 +62,7 @@
             self.times.pop(endpoint)
 
 
-class HeardSends(msgspec.Struct, frozen=True):
+class PeerSends(msgspec.Struct, frozen=True):
     """The sent requests that a peer reported.
 
     Attributes
@@ -76,13 +76,13 @@
     sends: tuple[int, ...]
     at: float
 
-    def within(self, seconds: float, now: float) -> int:
+    def count_within(self, seconds: float, now: float) -> int:
         """Return an upper bound of the requests sent in the last seconds."""
         remaining = max(0, seconds - (now - self.at))
-        return sum(self.sends[: math.ceil(remaining / SLOT_SECONDS)])
+        return sum(self.sends[: math.ceil(remaining / AGE_BUCKET_SECONDS)])
 
-    def aged(self, now: float) -> list[int]:
+    def counts_at(self, now: float) -> list[int]:
         """Return the numbers by the present age of the requests."""
-        elapsed = int((now - self.at) / SLOT_SECONDS)
+        elapsed = int((now - self.at) / AGE_BUCKET_SECONDS)
         padded = chain(repeat(0, elapsed), self.sends, repeat(0))
-        return list(islice(padded, SLOTS))
+        return list(islice(padded, AGE_BUCKETS))
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_overdue.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_overdue.py
@@ -5,7 +5,7 @@
 from ....ids import EndpointId, PeerId, RequestId
 from ....routing import EngineLoad, EngineShare, Unread
 from ..engine_work import Assignment
-from ..load_registry import LoadBook
+from ..load_registry import LoadRegistry
 from ..overdue import is_overdue
 from .builders import COSTS
 
@@ -14,9 +14,9 @@
 READ_MS = 300
 
 
-def registry_after_sending(*, is_ahead: bool = True) -> LoadBook:
+def registry_after_sending(*, is_ahead: bool = True) -> LoadRegistry:
     """Return the registry of an entry that sent a prompt at second 10."""
-    registry = LoadBook()
+    registry = LoadRegistry()
     parts = {
         engine: Assignment(read_ms=READ_MS, is_ahead=is_ahead)
         for engine in ENGINES
@@ -47,6 +47,6 @@
     registry = registry_after_sending()
     part = Unread('archive-', 40, 2000, 0, 4000, is_ahead=True)
     share = EngineShare(engine, EngineLoad(unread=(part,)))
-    registry.hear(PeerId('p'), (share,), 10.1, is_whole=False)
+    registry.apply_update(PeerId('p'), (share,), 10.1, is_full=False)
     assert not is_overdue(REQUEST, ENGINES, registry, COSTS, 10.8)
     assert is_overdue(REQUEST, ENGINES, registry, COSTS, 13)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_rate_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_rate_limits.py
@@ -10,7 +10,7 @@
     WINDOWS,
     RateLimits,
 )
-from ..recent_sends import SLOT_SECONDS, SLOTS
+from ..recent_sends import AGE_BUCKET_SECONDS, AGE_BUCKETS
 from .builders_limits import (
     EqualShares,
     LimitedLoad,
@@ -192,4 +192,4 @@
 
 def test_sends_are_stored_for_as_long_as_they_count() -> None:
     """Guards against a window that is longer than the stored sends."""
-    assert SLOTS * SLOT_SECONDS >= max(WINDOWS) + MAX_JITTER_SECONDS
+    assert AGE_BUCKETS * AGE_BUCKET_SECONDS >= max(WINDOWS) + MAX_JITTER_SECONDS
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
@@ -60,13 +60,13 @@
     request = long_request(LARGEST)
     plan = plan_read(request, idle_engines(18), costs)
     assert plan is not None
-    stored = sum(tokens for _, tokens in plan.stored)
+    stored = sum(tokens for _, tokens in plan.helper_tokens)
     assert stored + memory >= LARGEST + request.answer_tokens
 
 
 def test_no_helper_is_given_more_than_its_memory() -> None:
     plan = plan_for(long_request(LARGEST), idle_engines(18))
-    assert max(tokens for _, tokens in plan.stored) <= COSTS.memory_tokens
+    assert max(tokens for _, tokens in plan.helper_tokens) <= COSTS.memory_tokens
 
 
 def test_short_requests_are_packed_and_not_split() -> None:
@@ -74,7 +74,7 @@
     plan = plan_for(
         short_request(), [*idle_engines(10), *generating_engines(1)]
     )
-    assert plan.home == 'e100'
+    assert plan.primary == 'e100'
     assert not plan.helpers
 
 
@@ -85,7 +85,7 @@
     """
     busy = [reading_engine(number, 900) for number in range(10)]
     plan = plan_for(short_request(), [*busy, *generating_engines(2)])
-    assert plan.home in {'e100', 'e101'}
+    assert plan.primary in {'e100', 'e101'}
     assert plan.expected_ms < 300
 
 
@@ -159,7 +159,7 @@
 def test_engine_that_failed_recently_is_avoided() -> None:
     failed = Candidate('e1', idle_engines(1)[0].load, penalty=3)
     plan = plan_for(short_request(), [failed, *idle_engines(1, first=2)])
-    assert plan.home == 'e2'
+    assert plan.primary == 'e2'
 
 
 def test_huge_prompt_leaves_engines_to_turns_that_are_about_to_come() -> None:
@@ -175,7 +175,7 @@
         request,
         fleet,
         COSTS,
-        PredictedDemand(turns_per_s=25, slot_seconds=1.7),
+        PredictedDemand(short_requests_per_s=25, slot_seconds=1.7),
     )
     assert loaded is not None
     assert len(loaded.members) < len(quiet.members)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_update_pace.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_update_pace.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ..update_pace import MAX_UPDATES_PER_S, TELL_SECONDS, UpdatePace
+from ..update_pace import MAX_UPDATES_PER_S, UPDATE_INTERVAL_SECONDS, UpdateRateLimit
 
 PEERS = 25
 SECONDS = 10
@@ -16,16 +16,16 @@
     entry would place parts on the same engines, and both answers would be
     late.
     """
-    limit = UpdatePace()
-    limit.told(PEERS, now=1)
-    assert limit.urgent_seconds(PEERS, now=1) == 0
-    assert limit.beat_seconds(now=1) >= TELL_SECONDS
+    limit = UpdateRateLimit()
+    limit.record_update(PEERS, now=1)
+    assert limit.urgent_wait_seconds(PEERS, now=1) == 0
+    assert limit.regular_wait_seconds(now=1) >= UPDATE_INTERVAL_SECONDS
 
 
 def test_few_peers_receive_an_update_at_every_interval() -> None:
-    limit = UpdatePace()
-    limit.told(3, now=1)
-    assert limit.beat_seconds(now=1) == TELL_SECONDS
+    limit = UpdateRateLimit()
+    limit.record_update(3, now=1)
+    assert limit.regular_wait_seconds(now=1) == UPDATE_INTERVAL_SECONDS
 
 
 @given(
@@ -41,12 +41,12 @@
     Without a limit, each request costs a message to every peer, and entries
     spend their processor time on updates.
     """
-    limit = UpdatePace()
+    limit = UpdateRateLimit()
     now = 1.0
     rounds = 0
     for gap in gaps:
-        now += gap + limit.urgent_seconds(peers, now + gap)
-        limit.told(peers, now)
+        now += gap + limit.urgent_wait_seconds(peers, now + gap)
+        limit.record_update(peers, now)
         rounds += 1
     allowed = (now - 1) * MAX_UPDATES_PER_S + 3 * peers
     assert rounds * peers <= allowed + 1
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_worth.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_worth.py
@@ -9,8 +9,8 @@
 from .builders import COSTS, generating_engines, idle_engines, long_request
 
 HUGE = long_request(900_000)
-BURST_DEMAND = PredictedDemand(turns_per_s=40, slot_seconds=2)
-USUAL_DEMAND = PredictedDemand(turns_per_s=10, slot_seconds=1.7)
+BURST_DEMAND = PredictedDemand(short_requests_per_s=40, slot_seconds=2)
+USUAL_DEMAND = PredictedDemand(short_requests_per_s=10, slot_seconds=1.7)
 
 
 def is_read(
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/update_pace.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/update_pace.py
@@ -17,7 +17,7 @@
 """
 
 #: Minimum time between two updates without new requests, in seconds.
-TELL_SECONDS = 0.02
+UPDATE_INTERVAL_SECONDS = 0.02
 #: Maximum updates that an entry sends per second. It allows 22 peers at every
 #: interval; more peers receive updates less often. The limit bounds the
 #: processor time for control messages, which would otherwise grow with the
@@ -29,14 +29,17 @@
 _BURST_ROUNDS = 2
 
 
-class UpdatePace:
+class UpdateRateLimit:
     """Limits the rate of the updates of one entry.
 
     Examples
     --------
-    >>> pace = UpdatePace()
-    >>> pace.told(peers=44, now=10)
-    >>> pace.beat_seconds(now=10), pace.urgent_seconds(peers=44, now=10)
+    >>> limit = UpdateRateLimit()
+    >>> limit.record_update(peers=44, now=10)
+    >>> (
+    ...     limit.regular_wait_seconds(now=10),
+    ...     limit.urgent_wait_seconds(peers=44, now=10),
+    ... )
     (0.04, 0)
     """
 
@@ -45,19 +48,19 @@
         # Time from which the updates that were sent are within the limit.
         self._within_limit_at: float = 0
 
-    def told(self, peers: int, now: float) -> None:
+    def record_update(self, peers: int, now: float) -> None:
         """Record that an update was sent to all peers."""
         self._sent_at = now
         self._within_limit_at = (
             max(now, self._within_limit_at) + peers / MAX_UPDATES_PER_S
         )
 
-    def beat_seconds(self, now: float) -> float:
+    def regular_wait_seconds(self, now: float) -> float:
         """Return the time until the next regular update, in seconds."""
-        due = max(self._sent_at + TELL_SECONDS, self._within_limit_at)
+        due = max(self._sent_at + UPDATE_INTERVAL_SECONDS, self._within_limit_at)
         return max(0, round(due - now, 6))
 
-    def urgent_seconds(self, peers: int, now: float) -> float:
+    def urgent_wait_seconds(self, peers: int, now: float) -> float:
         """Return the time until a sent request can be reported, in seconds."""
         burst = _BURST_ROUNDS * peers / MAX_UPDATES_PER_S
         return max(0, self._within_limit_at - burst - now)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/worth.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/worth.py
@@ -44,8 +44,8 @@
     >>> request = ReadRequest(
     ...     prompt_tokens=900_000, answer_tokens=900, objective_ms=3000,
     ... )
-    >>> soon = ReadPlan(home='e1', expected_ms=2000, harm=20)
-    >>> late = ReadPlan(home='e1', expected_ms=6000, harm=90)
+    >>> soon = ReadPlan(primary='e1', expected_ms=2000, interference=20)
+    >>> late = ReadPlan(primary='e1', expected_ms=6000, interference=90)
     >>> is_worth_reading(soon, request, read_ms=70_000)
     True
     >>> is_worth_reading(late, request, read_ms=70_000)
@@ -57,4 +57,4 @@
         return False
     is_late = plan.expected_ms > request.objective_ms
     value = request.weight * LATE_VALUE_FRACTION if is_late else request.weight
-    return plan.harm <= value
+    return plan.interference <= value
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
@@ -81,7 +81,7 @@
         return is_isolated(
             self.peer_heard_at,
             self.clock.monotonic(),
-            platform_away=self.keeper.is_away,
+            platform_unreachable=self.keeper.is_away,
         )
 
     @property
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/decision_log.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/decision_log.py
@@ -20,7 +20,7 @@
         plan = placement.plan
         now = self.context.clock.monotonic()
         seconds_left = call.objective_at - now
-        report_age = self.context.dispatcher.book.news_age(plan.home, now)
+        report_age = self.context.dispatcher.book.report_age(plan.primary, now)
         self.context.log.info(
             'request_placed',
             request_id=call.request_id,
@@ -30,11 +30,11 @@
             zone=placement.home.zone,
             news_age=None if report_age is None else round(report_age, 3),
             helpers=[helper.endpoint for helper in placement.helpers],
-            stored=len(plan.stored),
+            stored=len(plan.helper_tokens),
             part_ms=round(plan.part_ms, 1),
             expected_ms=round(plan.expected_ms, 1),
             cost=round(plan.cost, 3),
-            harm=round(plan.harm, 3),
+            harm=round(plan.interference, 3),
             left_ms=round(seconds_left * _MS, 1),
             settings_version=keeper.version,
             settings_age=keeper.age,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
@@ -76,7 +76,7 @@
         return error.end in {AttemptEnd.BROKEN, AttemptEnd.NOT_SENT}
 
     async def _run_reserved(self, relay: AnswerRelay) -> None:
-        if not self.placement.plan.stored:
+        if not self.placement.plan.helper_tokens:
             await self._run_on_channel(relay, ())
             return
         reservations = Reservations(self.context, self.placement)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/reservations.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/reservations.py
@@ -66,7 +66,7 @@
         helpers = {one.endpoint: one for one in self.placement.helpers}
         self._requested = [
             (helpers[name], tokens)
-            for name, tokens in self.placement.plan.stored
+            for name, tokens in self.placement.plan.helper_tokens
         ]
         if not all(await self._reserve_all()):
             raise AttemptError(
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
@@ -3,7 +3,7 @@
 import asyncio
 import math
 
-from sycamore_core.decisions.direct import is_overdue, is_turn
+from sycamore_core.decisions.direct import is_overdue, is_short_request
 from sycamore_core.routing import EngineCosts
 
 from ..calls import AttemptCall
@@ -79,7 +79,7 @@
         self.may_move = may_move
         costs = call.service.engine
         tokens = call.terms.prompt_tokens
-        self.is_short = costs is not None and is_turn(costs, tokens)
+        self.is_short = costs is not None and is_short_request(costs, tokens)
         self.first_event_at: float | None = None
         self.last_event_at = context.clock.monotonic()
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
@@ -14,9 +14,9 @@
 
 from sycamore_core.clock import Clock
 from sycamore_core.decisions.direct import (
-    WHOLE_SECONDS,
+    FULL_UPDATE_SECONDS,
     CellView,
-    LoadBook,
+    LoadRegistry,
 )
 from sycamore_core.errors import CodecError, TransportError
 from sycamore_core.ids import Incarnation, PeerId
@@ -73,7 +73,7 @@
         self.node = node
         self.context = context
         self.clock: Clock = context.clock
-        self.registry: LoadBook = context.dispatcher.book
+        self.registry: LoadRegistry = context.dispatcher.book
         self.keeper = context.keeper
         self.membership = Membership(
             node.address.advertise,
@@ -151,9 +151,9 @@
             await self.schedule.wait()
             now = self.clock.monotonic()
             self.trials.runs(now)
-            changed = self.registry.take_changed()
+            changed = self.registry.pop_changed()
             if now >= self._next_full_at or self._has_changed():
-                self._next_full_at = now + WHOLE_SECONDS
+                self._next_full_at = now + FULL_UPDATE_SECONDS
                 self._update_membership(now)
                 self.meet_seeds()
                 self.sender.send_full(now)
@@ -195,12 +195,12 @@
         self.crashes.hear(update.crashes, update.entry)
         self._apply_limits(PeerId(update.entry), update.limits, now)
         self._introduce_to_new_peer(peer, update, now)
-        self.registry.hear(
+        self.registry.apply_update(
             PeerId(update.entry),
             update.shares,
             now,
-            is_whole=update.is_whole,
-            turns_per_s=update.turns_per_s,
+            is_full=update.is_whole,
+            short_requests_per_s=update.turns_per_s,
         )
         self._apply_failing(update, now)
         for cell in update.members:
@@ -238,7 +238,7 @@
         self._apply_limits(PeerId(summary.zone), summary.limits, now)
         self.membership.vouch(summary.zone, summary.members, now)
         if not self.membership.is_near(summary.zone):
-            self.registry.hear_cell(
+            self.registry.apply_cell_summary(
                 summary.zone,
                 summary.shares,
                 now,
@@ -293,7 +293,7 @@
     def _update_membership(self, now: float) -> None:
         """Expire silent members and update the number of entries and cells."""
         for lost in self.membership.expire(now):
-            self.registry.forget(lost.name)
+            self.registry.remove_peer(lost.name)
             self.log.warning(
                 'peer_lost',
                 peer=lost.name,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_schedule.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_schedule.py
@@ -4,7 +4,7 @@
 import contextlib
 
 from sycamore_core.clock import Clock
-from sycamore_core.decisions.direct import TELL_SECONDS, UpdatePace
+from sycamore_core.decisions.direct import UPDATE_INTERVAL_SECONDS, UpdateRateLimit
 from sycamore_core.membership import Membership
 
 
@@ -26,20 +26,20 @@
         self.has_sent = has_sent
         self.membership = membership
         self.clock = clock
-        self.rate_limit = UpdatePace()
+        self.rate_limit = UpdateRateLimit()
 
     async def wait(self) -> None:
         """Wait until a request is sent or the regular interval ends."""
-        pause = self.rate_limit.beat_seconds(self.clock.monotonic())
+        pause = self.rate_limit.regular_wait_seconds(self.clock.monotonic())
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(pause or TELL_SECONDS):
+            async with asyncio.timeout(pause or UPDATE_INTERVAL_SECONDS):
                 await self.has_sent.wait()
                 await asyncio.sleep(self._urgent_wait_seconds())
         self.has_sent.clear()
 
     def record_update(self, now: float) -> None:
         """Record that an update was sent to the cell."""
-        self.rate_limit.told(self._peer_count, now)
+        self.rate_limit.record_update(self._peer_count, now)
 
     @property
     def _peer_count(self) -> int:
@@ -47,4 +47,4 @@
 
     def _urgent_wait_seconds(self) -> float:
         now = self.clock.monotonic()
-        return self.rate_limit.urgent_seconds(self._peer_count, now)
+        return self.rate_limit.urgent_wait_seconds(self._peer_count, now)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 import msgspec
-from sycamore_core.decisions.direct import LoadBook, RateLimits
+from sycamore_core.decisions.direct import LoadRegistry, RateLimits
 from sycamore_core.ids import EndpointId, PeerId, ZoneId
 from sycamore_core.membership import Membership
 from sycamore_core.messages import CellMembers, CellSummary, LoadUpdate
@@ -22,7 +22,7 @@
     ) -> None:
         self.context = context
         self.membership = membership
-        self.registry: LoadBook = context.dispatcher.book
+        self.registry: LoadRegistry = context.dispatcher.book
         self.limits: RateLimits = context.dispatcher.limits
 
     def changes(
@@ -37,8 +37,8 @@
             zone=context.settings.zone,
             settings_version=context.keeper.version,
             is_whole=False,
-            shares=self.registry.shares(endpoints, now),
-            turns_per_s=self.registry.turns.rate(now),
+            shares=self.registry.own_shares(endpoints, now),
+            turns_per_s=self.registry.short_requests.rate(now),
             failing=context.dispatcher.failures.to_tell(now),
             crashes=context.quarantine.book.news(now),
             limits=self.limits.reports(set(endpoints), now),
@@ -82,11 +82,11 @@
             entry=context.entry,
             zone=zone,
             settings_version=context.keeper.version,
-            shares=self.registry.near_shares(self._busy_in(zone), now, name),
+            shares=self.registry.cell_shares(self._busy_in(zone), now, name),
             members=(*own.addresses, self.membership.address),
             contacts=tuple(self._contacts()),
             leaving=context.keeper.leaving.recent(),
-            turns_per_s=self.registry.pressure(now).turns_per_s,
+            turns_per_s=self.registry.predicted_demand(now).short_requests_per_s,
             crashes=context.quarantine.book.in_turn(now),
             limits=self._limits_in(zone, now, name),
         )
@@ -105,7 +105,7 @@
         return owned
 
     def _busy_in(self, zone: ZoneId) -> list[EndpointId]:
-        busy = self.registry.own.keys() | self.registry.heard.keys()
+        busy = self.registry.own.keys() | self.registry.peer_loads.keys()
         return sorted(one for one in busy if self._zone_of(one) == zone)
 
     def _limits_in(
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
@@ -11,12 +11,12 @@
     CellView,
     FailureBook,
     KnownEngine,
-    LoadBook,
+    LoadRegistry,
     RateLimits,
     ReadPlan,
     ReadRequest,
     choose_plain,
-    is_turn,
+    is_short_request,
     plan_in_cells,
 )
 from sycamore_core.hashes import stable_part
@@ -88,7 +88,7 @@
         self.entry = entry
         self.keeper = keeper
         self.clock = clock
-        self.book = LoadBook()
+        self.book = LoadRegistry()
         self.cells = CellView(zone=zone)
         self.failures = FailureBook()
         self.limits = RateLimits(entry)
@@ -107,7 +107,7 @@
         """Return the engines for a prompt; None if no engine has a slot."""
         now = self.clock.monotonic()
         records = self.candidates.accepting(service, excluded, now)
-        if not is_turn(costs, request.prompt_tokens):
+        if not is_short_request(costs, request.prompt_tokens):
             records = self.candidates.prefer_unlimited(records, now)
         plan = plan_in_cells(
             request,
@@ -121,7 +121,7 @@
             return None
         return Placement(
             plan=plan,
-            home=records[plan.home],
+            home=records[plan.primary],
             helpers=tuple(records[name] for name in plan.helpers),
         )
 
@@ -139,7 +139,7 @@
         )
         if chosen is None:
             return None
-        return Placement(plan=ReadPlan(home=chosen.endpoint), home=chosen)
+        return Placement(plan=ReadPlan(primary=chosen.endpoint), home=chosen)
 
     def begin(
         self,
@@ -152,7 +152,7 @@
 
     def first_event(self, request_id: RequestId, placed: Placement) -> None:
         """Record that the prompt of a request has been read."""
-        self.book.first_token(request_id, placed.plan.members)
+        self.book.record_first_token(request_id, placed.plan.members)
 
     def end(self, request_id: RequestId, placed: Placement) -> None:
         """Record that an attempt has ended."""
@@ -175,12 +175,12 @@
 
     def record_arrival(self, costs: EngineCosts, prompt_tokens: int) -> None:
         """Record the arrival of a request, if its prompt is short."""
-        if is_turn(costs, prompt_tokens):
-            self.book.turns.arrived(self.clock.monotonic())
+        if is_short_request(costs, prompt_tokens):
+            self.book.short_requests.record_arrival(self.clock.monotonic())
 
     def turn_ended(self, seconds: float) -> None:
         """Record the residence time of a short request, in seconds."""
-        self.book.turns.ended(seconds)
+        self.book.short_requests.record_end(seconds)
 
     def failed(self, endpoint: EndpointId) -> None:
         """Record that an attempt at an endpoint failed."""
@@ -207,7 +207,7 @@
             endpoint=endpoint,
             zone=record.zone,
             penalty=_FAILURE_PENALTY if has_failed else 0,
-            tie=self._tie_breaker(endpoint),
+            tie_break=self._tie_breaker(endpoint),
         )
 
     def _call_count(self, endpoint: EndpointId, now: float) -> float:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
@@ -151,7 +151,7 @@
             return
         raise Refusal(
             RefusalCause.INTERFERENCE,
-            f'interference {plan.harm:.1f}, weight {request.weight:.1f},'
+            f'interference {plan.interference:.1f}, weight {request.weight:.1f},'
             f' expected {plan.expected_ms:.0f} ms',
             retry_after=after_load(self.call.caller_time(now)),
         )
@@ -214,11 +214,11 @@
                 f'all endpoints are at their limit for {wait.seconds:.2f} s',
                 retry_after=after_limit(wait.seconds, caller),
             )
-        turns = self.context.dispatcher.book.turns
+        turns = self.context.dispatcher.book.short_requests
         return Refusal(
             RefusalCause.OVERLOADED,
             f'no free slot at {len(self._usable_endpoints())} endpoints',
-            retry_after=after_full(turns.stay_seconds, caller),
+            retry_after=after_full(turns.slot_seconds, caller),
         )
 
     def _shortest_wait(self, excluded: Iterable[EndpointId]) -> Wait:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_cells.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_cells.py
@@ -98,7 +98,7 @@
         send_requests(first, 'e-a', 3)
         await wait_until_known(third, 'e-a', 3)
         await wait_until_known(second, 'e-a', 3)
-        peer_loads = second.context.dispatcher.book.heard
+        peer_loads = second.context.dispatcher.book.peer_loads
         assert EndpointId('e-a') not in peer_loads
 
 
@@ -124,7 +124,7 @@
         send_requests(second, 'e-b', 1)
         book = first.context.dispatcher.book
         async with asyncio.timeout(5):
-            while EndpointId('e-b') not in book.totals:
+            while EndpointId('e-b') not in book.cell_loads:
                 await asyncio.sleep(0.01)
         assert known_requests(first, 'e-b') == 3
         await wait_until_known(second, 'e-b', 3)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
@@ -71,13 +71,13 @@
     and the callers of all of them would wait. The next full update is ten
     minutes away in this test.
     """
-    monkeypatch.setattr(entry_mesh, 'WHOLE_SECONDS', 600)
+    monkeypatch.setattr(entry_mesh, 'FULL_UPDATE_SECONDS', 600)
     first, second = entries(2)
     first.start_tasks()
     await asyncio.sleep(0.1)
     assignments = {ENDPOINT.endpoint: Assignment(read_ms=5000)}
     first.context.dispatcher.begin(RequestId('r1'), assignments)
-    first.context.dispatcher.book.take_changed()
+    first.context.dispatcher.book.pop_changed()
     second.start_tasks()
     book = second.context.dispatcher.book
     now = second.context.clock.monotonic
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_news.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_news.py
@@ -54,7 +54,7 @@
         book = entry.context.dispatcher.book
         share = EngineShare(EndpointId(full), FULL_LOAD)
         now = entry.context.clock.monotonic()
-        book.hear(PeerId('p'), (share,), now, is_whole=False)
+        book.apply_update(PeerId('p'), (share,), now, is_full=False)
         answer = await reader.read()
         writer.close()
     assert answer.endswith(LAST_CHUNK)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
@@ -189,7 +189,7 @@
     idle = RawEndpoint('e2', answer_at_once)
     async with entry_before(LONG_STREAM, busy, idle) as entry:
         asking = await ask_while_e2_is_busy(entry, busy, MEDIUM_PROMPT)
-        part = Assignment(read_ms=9000, is_ahead=True, is_home=False)
+        part = Assignment(read_ms=9000, is_ahead=True, is_primary=False)
         dispatcher = entry.context.dispatcher
         dispatcher.begin(RequestId('later'), {EndpointId('e1'): part})
         end_long_prompt(entry, 'e2')
--- a/packages/sycamore-standins/src/sycamore_standins/passes/gossip.py
+++ b/packages/sycamore-standins/src/sycamore_standins/passes/gossip.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from sycamore_core.decisions.direct import (
-    TELL_SECONDS,
-    WHOLE_SECONDS,
+    UPDATE_INTERVAL_SECONDS,
+    FULL_UPDATE_SECONDS,
     CellView,
     KnownEngine,
-    LoadBook,
-    UpdatePace,
+    LoadRegistry,
+    UpdateRateLimit,
 )
 from sycamore_core.ids import EndpointId, PeerId, ZoneId
 from sycamore_core.routing import EngineShare
@@ -36,7 +36,7 @@
     def __init__(
         self,
         load: ReplayLoad,
-        books: Sequence[LoadBook],
+        books: Sequence[LoadRegistry],
         engines: Iterable[KnownEngine],
         timeline: Timeline,
     ) -> None:
@@ -47,20 +47,20 @@
         cells = frozenset(zones) if load.zones > 1 else frozenset()
         self.views = [CellView(zone=zone, zones=cells) for zone in zones]
         self.zones = {one.endpoint: one.zone for one in engines}
-        self.paces = [UpdatePace() for _ in books]
-        self._whole_at = [-WHOLE_SECONDS for _ in books]
+        self.paces = [UpdateRateLimit() for _ in books]
+        self._whole_at = [-FULL_UPDATE_SECONDS for _ in books]
         self._beats = 0
 
     def begin(self) -> None:
         """Have each entry tell, each at its own moment."""
-        gap = TELL_SECONDS / len(self.books)
+        gap = UPDATE_INTERVAL_SECONDS / len(self.books)
         for entry, _ in enumerate(self.books):
             self.timeline.at(entry * gap, self.tell, entry)
 
     def has_sent(self, entry: int) -> None:
         """Have an entry tell that it has sent a request."""
         now = self.timeline.now
-        wait = self.paces[entry].urgent_seconds(self._near(entry), now)
+        wait = self.paces[entry].urgent_wait_seconds(self._near(entry), now)
         self.timeline.at(now + wait, self._tell_changes, entry)
 
     def tell(self, entry: int) -> None:
@@ -69,10 +69,10 @@
         if now < self._whole_at[entry]:
             self._tell_changes(entry)
         else:
-            self._whole_at[entry] = now + WHOLE_SECONDS
+            self._whole_at[entry] = now + FULL_UPDATE_SECONDS
             self._tell_cells(entry)
             self._tell(entry, set(self.books[entry].own), is_whole=True)
-        pause = self.paces[entry].beat_seconds(now) or TELL_SECONDS
+        pause = self.paces[entry].regular_wait_seconds(now) or UPDATE_INTERVAL_SECONDS
         self.timeline.at(now + pause, self.tell, entry)
 
     def hear(
@@ -82,13 +82,13 @@
         is_whole: bool,
     ) -> None:
         """Have the others take in what one entry told."""
-        rate = self.books[teller].turns.rate(self.timeline.now)
+        rate = self.books[teller].short_requests.rate(self.timeline.now)
         name = PeerId(f'entry-{teller}')
         for entry, book in self._others(teller):
             if self._are_near(entry, teller):
                 now = self.timeline.now
-                book.hear(
-                    name, shares, now, is_whole=is_whole, turns_per_s=rate
+                book.apply_update(
+                    name, shares, now, is_full=is_whole, short_requests_per_s=rate
                 )
             else:
                 self._hear_far(name, entry, shares)
@@ -101,7 +101,7 @@
         turns_per_s: float,
     ) -> None:
         """Have one entry take in what another cell has."""
-        self.books[entry].hear_cell(
+        self.books[entry].apply_cell_summary(
             zone,
             shares,
             self.timeline.now,
@@ -109,7 +109,7 @@
         )
 
     def _tell_changes(self, entry: int) -> None:
-        changed = self.books[entry].take_changed()
+        changed = self.books[entry].pop_changed()
         if changed:
             self._tell(entry, changed, is_whole=False)
 
@@ -121,9 +121,9 @@
         is_whole: bool,
     ) -> None:
         now = self.timeline.now
-        shares = self.books[entry].shares(sorted(named), now)
+        shares = self.books[entry].own_shares(sorted(named), now)
         self._soon(self.hear, entry, shares, is_whole)
-        self.paces[entry].told(self._near(entry), now)
+        self.paces[entry].record_update(self._near(entry), now)
 
     def _tell_cells(self, teller: int) -> None:
         """Tell one entry of each other cell, each time the next."""
@@ -131,15 +131,15 @@
         book = self.books[teller]
         own = self.load.zone(teller)
         busy = self._busy(book, own)
-        rate = book.pressure(now).turns_per_s
+        rate = book.predicted_demand(now).short_requests_per_s
         self._beats += 1
         others = self.views[teller].zones - {own}
         for told in map(self._partner, sorted(others)):
             name = PeerId(f'entry-{told}')
-            shares = book.near_shares(busy, now, name)
+            shares = book.cell_shares(busy, now, name)
             self._soon(self.hear_cell, told, own, shares, rate)
 
-    def _others(self, teller: int) -> list[tuple[int, LoadBook]]:
+    def _others(self, teller: int) -> list[tuple[int, LoadRegistry]]:
         known = list(enumerate(self.books))
         return known[:teller] + known[teller + 1 :]
 
@@ -168,11 +168,11 @@
         told = [one for one in shares if self.zones[one.endpoint] == zone]
         if told:
             now = self.timeline.now
-            self.books[entry].hear(name, told, now, is_whole=False)
+            self.books[entry].apply_update(name, told, now, is_full=False)
 
-    def _busy(self, book: LoadBook, zone: ZoneId) -> list[EndpointId]:
+    def _busy(self, book: LoadRegistry, zone: ZoneId) -> list[EndpointId]:
         """Return the engines of a zone that have work."""
-        busy = sorted(book.own.keys() | book.heard.keys())
+        busy = sorted(book.own.keys() | book.peer_loads.keys())
         return [one for one in busy if self.zones[one] == zone]
 
     def _soon(self, act: Callable[..., None], *args: object) -> None:
--- a/packages/sycamore-standins/src/sycamore_standins/passes/policies.py
+++ b/packages/sycamore-standins/src/sycamore_standins/passes/policies.py
@@ -7,7 +7,7 @@
 from sycamore_core.decisions.direct import (
     CellView,
     KnownEngine,
-    LoadBook,
+    LoadRegistry,
     ReadPlan,
     ReadRequest,
     is_worth_reading,
@@ -26,7 +26,7 @@
 
     entry: int
     request: ReadRequest
-    book: LoadBook
+    book: LoadRegistry
     cells: CellView
     now: float
 
@@ -68,7 +68,7 @@
     ) -> ReadPlan | None:
         """Return the plan with the least harm."""
         known = [
-            msgspec.structs.replace(one, tie=_tie(placed.entry, one.endpoint))
+            msgspec.structs.replace(one, tie_break=_tie(placed.entry, one.endpoint))
             for one in engines
         ]
         return plan_in_cells(
@@ -112,7 +112,7 @@
         orders = [_order(placed, one.endpoint) for one in engines]
         home = engines[orders.index(min(orders))].endpoint
         read_ms = costs.read_ms(placed.request.prompt_tokens)
-        return ReadPlan(home=home, part_ms=read_ms, expected_ms=read_ms)
+        return ReadPlan(primary=home, part_ms=read_ms, expected_ms=read_ms)
 
 
 def _order(placed: Placed, name: EndpointId) -> float:
--- a/packages/sycamore-standins/src/sycamore_standins/passes/replay.py
+++ b/packages/sycamore-standins/src/sycamore_standins/passes/replay.py
@@ -5,12 +5,12 @@
 from sycamore_core.decisions.direct import (
     CallerTime,
     KnownEngine,
-    LoadBook,
+    LoadRegistry,
     ReadPlan,
     ReadRequest,
     after_load,
     assignments_of,
-    is_turn,
+    is_short_request,
 )
 from sycamore_core.hashes import stable_part
 from sycamore_core.ids import EndpointId, RequestId
@@ -51,7 +51,7 @@
         self.engines = {
             one.endpoint: PassEngine(self.costs) for one in self.known
         }
-        self.books = [LoadBook() for _ in range(load.entries)]
+        self.books = [LoadRegistry() for _ in range(load.entries)]
         self.gossip = Gossip(load, self.books, self.known, self.timeline)
         self.answers: dict[RequestId, Answer] = {
             one.request_id: Answer(one, one.at) for one in load.requests(seed)
@@ -70,8 +70,8 @@
 
     def _arrive(self, answer: Answer) -> None:
         request = answer.request
-        if is_turn(self.costs, request.prompt_tokens):
-            self.books[request.entry].turns.arrived(self.timeline.now)
+        if is_short_request(self.costs, request.prompt_tokens):
+            self.books[request.entry].short_requests.record_arrival(self.timeline.now)
         self._place(answer)
 
     def _place(self, answer: Answer) -> None:
@@ -133,7 +133,7 @@
                 mean_context=tokens / 2,
                 is_ahead=bool(plan.helpers),
                 order=self._parts,
-                is_home=name == plan.home,
+                is_home=name == plan.primary,
             )
             self.engines[name].waiting.append(part)
             self._wake(name)
@@ -161,15 +161,15 @@
         if answer.unread_parts or plan is None:
             return
         request = answer.request
-        home = self.engines[plan.home]
+        home = self.engines[plan.primary]
         home.contexts[request.request_id] = request.prompt_tokens
         self._soon(
-            self.books[request.entry].first_token,
+            self.books[request.entry].record_first_token,
             request.request_id,
             plan.members,
         )
-        self._event(answer, plan.home)
-        self._wake(plan.home)
+        self._event(answer, plan.primary)
+        self._wake(plan.primary)
 
     def _event(self, answer: Answer, name: EndpointId) -> None:
         answer.event(self.timeline.now)
@@ -180,8 +180,8 @@
         book = self.books[request.entry]
         members = answer.plan.members
         self._soon(book.end, request.request_id, members)
-        if is_turn(self.costs, request.prompt_tokens):
-            book.turns.ended(answer.ended_at - request.at)
+        if is_short_request(self.costs, request.prompt_tokens):
+            book.short_requests.record_end(answer.ended_at - request.at)
 
     def _soon(self, act: Callable[..., None], *args: object) -> None:
         """Have something done when word of it has come over the network."""
