--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/__init__.py
@@ -6,13 +6,13 @@
 work of this entry at each engine and the work that its peers report.
 """
 
-from .asked_rests import AskedRests
+from .asked_rests import RequestedBackoffs
 from .assignments import assignments_of
 from .attempts import AttemptEnd, AttemptLog, NextStep, next_step
 from .cells import CellView, KnownEngine, plan_in_cells
 from .engine_harm import Candidate
 from .engine_work import Assignment, EngineWork
-from .failures import FailureBook
+from .failures import FailureTracker
 from .isolation import is_isolated
 from .load_registry import (
     STALE_SECONDS,
@@ -26,18 +26,18 @@
 from .quarantine import Quarantine
 from .rate_limits import RateLimits
 from .read_plan import is_short_request, plan_read
-from .retry_allowance import AllowanceBounds, RetryAllowance
+from .retry_allowance import RetryBudgetLimit, SharedRetryBudget
 from .return_times import (
     CallerTime,
     after_full,
-    after_hold,
+    after_quarantine,
     after_limit,
-    after_load,
-    after_rest,
+    after_overload,
+    after_backoff,
     after_start,
-    spread,
+    with_jitter,
 )
-from .suspect_places import SuspectPlaces
+from .suspect_places import SuspectLocations
 from .trials import granting_entry, may_grant
 from .update_pace import UPDATE_INTERVAL_SECONDS, UpdateRateLimit
 from .worth import is_worth_reading
@@ -46,15 +46,15 @@
     'STALE_SECONDS',
     'UPDATE_INTERVAL_SECONDS',
     'FULL_UPDATE_SECONDS',
-    'AllowanceBounds',
-    'AskedRests',
+    'RetryBudgetLimit',
+    'RequestedBackoffs',
     'AttemptEnd',
     'AttemptLog',
     'CallerTime',
     'Candidate',
     'CellView',
     'EngineWork',
-    'FailureBook',
+    'FailureTracker',
     'KnownEngine',
     'LoadRegistry',
     'NextStep',
@@ -63,16 +63,16 @@
     'RateLimits',
     'ReadPlan',
     'ReadRequest',
-    'RetryAllowance',
+    'SharedRetryBudget',
     'Assignment',
-    'SuspectPlaces',
+    'SuspectLocations',
     'ShortRequestMeter',
     'UpdateRateLimit',
     'after_full',
-    'after_hold',
+    'after_quarantine',
     'after_limit',
-    'after_load',
-    'after_rest',
+    'after_overload',
+    'after_backoff',
     'after_start',
     'assignments_of',
     'choose_plain',
@@ -85,5 +85,5 @@
     'next_step',
     'plan_in_cells',
     'plan_read',
-    'spread',
+    'with_jitter',
 )
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/asked_rests.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/asked_rests.py
@@ -51,7 +51,7 @@
     probe_sent_at: float | None = None
 
 
-class AskedRests:
+class RequestedBackoffs:
     """Backoffs that endpoints requested from one entry.
 
     Attributes
@@ -61,12 +61,12 @@
 
     Examples
     --------
-    >>> backoffs = AskedRests()
-    >>> backoffs.said('e1', 3, now=10)
-    >>> backoffs.takes('e1', now=12.9), backoffs.takes('e1', now=13)
+    >>> backoffs = RequestedBackoffs()
+    >>> backoffs.record_request('e1', 3, now=10)
+    >>> backoffs.accepts('e1', now=12.9), backoffs.accepts('e1', now=13)
     (False, True)
-    >>> backoffs.sent('e1', now=13)
-    >>> backoffs.takes('e1', now=13.05), backoffs.takes('e1', now=13.2)
+    >>> backoffs.record_send('e1', now=13)
+    >>> backoffs.accepts('e1', now=13.05), backoffs.accepts('e1', now=13.2)
     (False, True)
     """
 
@@ -78,7 +78,7 @@
         """Whether no backoff is stored."""
         return not self.backoffs
 
-    def said(
+    def record_request(
         self,
         endpoint: EndpointLifetime,
         seconds: float,
@@ -103,7 +103,7 @@
         if len(self.backoffs) > _MAX_REMEMBERED:
             self._prune(now)
 
-    def sent(self, endpoint: EndpointLifetime, now: float) -> None:
+    def record_send(self, endpoint: EndpointLifetime, now: float) -> None:
         """Record that a request is sent to any endpoint.
 
         The first request after a backoff is the probe.
@@ -116,7 +116,7 @@
         ):
             backoff.probe_sent_at = now
 
-    def accepted(self, endpoint: EndpointLifetime) -> None:
+    def record_acceptance(self, endpoint: EndpointLifetime) -> None:
         """Record that an endpoint did not refuse a request.
 
         This ends a backoff only if its probe was sent. Before that, the
@@ -126,12 +126,12 @@
         if backoff is not None and backoff.probe_sent_at is not None:
             self.backoffs.pop(endpoint)
 
-    def is_resting(self, endpoint: EndpointLifetime, now: float) -> bool:
+    def is_backing_off(self, endpoint: EndpointLifetime, now: float) -> bool:
         """Return whether a backoff of an endpoint is in force."""
         backoff = self.backoffs.get(endpoint)
         return backoff is not None and now < backoff.until
 
-    def takes(self, endpoint: EndpointLifetime, now: float) -> bool:
+    def accepts(self, endpoint: EndpointLifetime, now: float) -> bool:
         """Return whether a request may be sent to an endpoint now."""
         return self.seconds_left(endpoint, now) <= 0
 
@@ -147,7 +147,7 @@
     def _prune(self, now: float) -> None:
         """Drop the backoffs that are over; if there is none, the oldest."""
         expired = [
-            endpoint for endpoint in self.backoffs if self.takes(endpoint, now)
+            endpoint for endpoint in self.backoffs if self.accepts(endpoint, now)
         ]
         for endpoint in expired or tuple(self.backoffs)[:1]:
             self.backoffs.pop(endpoint)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/attempts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/attempts.py
@@ -20,7 +20,7 @@
     #: No connection was made, or nothing was sent on it.
     NOT_SENT = 'not_sent'
     #: Nothing was sent: the endpoint has reported that it accepts nothing now.
-    HELD_BACK = 'held_back'
+    NOT_ACCEPTING = 'held_back'
     #: The endpoint states that it has not run the request.
     NOT_RUN = 'not_run'
     #: The endpoint answered with a failure.
@@ -38,18 +38,18 @@
     @property
     def was_sent(self) -> bool:
         """Whether anything reached the endpoint."""
-        return self not in {AttemptEnd.NOT_SENT, AttemptEnd.HELD_BACK}
+        return self not in {AttemptEnd.NOT_SENT, AttemptEnd.NOT_ACCEPTING}
 
 
 class NextStep(enum.StrEnum):
     """What the entry does with a request after an attempt."""
 
     #: Retry the request.
-    TRY_AGAIN = 'try_again'
+    RETRY = 'try_again'
     #: Answer that the request has not run, with the time of a retry.
     REFUSE = 'refuse'
     #: Forward the failure that the endpoint answered.
-    HAND_ON = 'hand_on'
+    RELAY_FAILURE = 'hand_on'
     #: Answer that the request failed, or cut an answer that has begun.
     FAIL = 'fail'
 
@@ -66,7 +66,7 @@
     is_in_progress
         Whether an attempt is in progress. Its request may run at any moment,
         so a caller that is answered meanwhile must not be told "not run".
-    has_begun
+    answer_has_begun
         Whether the caller has received the beginning of an answer.
 
     Examples
@@ -75,7 +75,7 @@
     >>> log.begin()
     >>> log.may_have_run
     1
-    >>> log.note(AttemptEnd.NOT_RUN)
+    >>> log.record(AttemptEnd.NOT_RUN)
     >>> log.may_have_run
     0
     """
@@ -83,7 +83,7 @@
     sent: int = 0
     possibly_ran: int = 0
     is_in_progress: bool = False
-    has_begun: bool = False
+    answer_has_begun: bool = False
 
     @property
     def may_have_run(self) -> int:
@@ -94,7 +94,7 @@
         """Record that an attempt begins."""
         self.is_in_progress = True
 
-    def note(self, end: AttemptEnd) -> None:
+    def record(self, end: AttemptEnd) -> None:
         """Record how the attempt in progress ended."""
         self.is_in_progress = False
         if end.was_sent:
@@ -108,7 +108,7 @@
     end: AttemptEnd,
     attempts: AttemptLog,
     *,
-    may_repeat: bool,
+    may_retry: bool,
     max_attempts: int,
 ) -> NextStep:
     """Return the step after an attempt that gave no complete answer.
@@ -117,7 +117,7 @@
     ----------
     attempts
         All attempts, including the one that ended.
-    may_repeat
+    may_retry
         Whether the time limit and the retry budget permit another attempt.
     max_attempts
         Upper bound of the runs of an idempotent request.
@@ -127,17 +127,17 @@
     >>> log = AttemptLog(sent=1, possibly_ran=1)
     >>> next_step(
     ...     RouteKind.UNSAFE, AttemptEnd.BROKEN, log,
-    ...     may_repeat=True, max_attempts=3,
+    ...     may_retry=True, max_attempts=3,
     ... ).value
     'fail'
     """
     may_run_again = kind.is_idempotent and attempts.may_have_run < max_attempts
     none_ran = attempts.may_have_run == 0
-    can_continue = kind == RouteKind.RESUMABLE_STREAM or not attempts.has_begun
-    if may_repeat and can_continue and (may_run_again or none_ran):
-        return NextStep.TRY_AGAIN
-    if attempts.has_begun:
+    can_continue = kind == RouteKind.RESUMABLE_STREAM or not attempts.answer_has_begun
+    if may_retry and can_continue and (may_run_again or none_ran):
+        return NextStep.RETRY
+    if attempts.answer_has_begun:
         return NextStep.FAIL
     if none_ran:
         return NextStep.REFUSE
-    return NextStep.HAND_ON if end == AttemptEnd.FAILED else NextStep.FAIL
+    return NextStep.RELAY_FAILURE if end == AttemptEnd.FAILED else NextStep.FAIL
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_records.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_records.py
@@ -68,7 +68,7 @@
         return max(crash.at for crash in self.crashes.values())
 
     @property
-    def counted(self) -> int:
+    def crash_count(self) -> int:
         """Number of crashes that count against the content."""
         return sum(not crash.is_cleared for crash in self.crashes.values())
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_registry.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_registry.py
@@ -45,7 +45,7 @@
         self.suspects = Suspects()
         self._by_prefix: dict[bytes, set[ContentDigest]] = {}
 
-    def may_know(self, digest_prefix: bytes) -> bool:
+    def may_contain(self, digest_prefix: bytes) -> bool:
         """Return whether a content may be stored, by half of its digest.
 
         Parameters
@@ -79,7 +79,7 @@
 
     def has_enough_crashes(self, record: CrashRecord) -> bool:
         """Return whether a content has enough crashes to be quarantined."""
-        if record.counted > MAX_CRASHES_ALLOWED:
+        if record.crash_count > MAX_CRASHES_ALLOWED:
             return True
         shares = map(self.suspects.share, record.suspected_endpoints)
         return sum(shares) >= _MIN_CRASH_SHARES
@@ -117,7 +117,7 @@
                 record.clear(endpoint, now)
                 self.suspects.discard(content, endpoint)
 
-    def news(self, now: float) -> tuple[CrashReport, ...]:
+    def recent_reports(self, now: float) -> tuple[CrashReport, ...]:
         """Return the recent changes, for every message to peers."""
         start = now - _RECENT_SECONDS
         recent = [
@@ -127,7 +127,7 @@
         ]
         return self._build_reports(recent[-_MAX_RECENT_CONTENTS:], now)
 
-    def in_turn(self, now: float) -> tuple[CrashReport, ...]:
+    def rotating_reports(self, now: float) -> tuple[CrashReport, ...]:
         """Return the recent changes and some of the quarantined contents."""
         quarantined = [
             content
@@ -138,9 +138,9 @@
         repeated = self._build_reports(
             quarantined[start : start + _REPEATED_CONTENTS], now
         )
-        return tuple(dict.fromkeys((*self.news(now), *repeated)))
+        return tuple(dict.fromkeys((*self.recent_reports(now), *repeated)))
 
-    def everything(self, now: float) -> tuple[CrashReport, ...]:
+    def all_reports(self, now: float) -> tuple[CrashReport, ...]:
         """Return all crashes, for a peer that joins."""
         return self._build_reports(self.records, now)
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/failures.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/failures.py
@@ -49,7 +49,7 @@
     backoff_until: float = 0
 
 
-class FailureBook:
+class FailureTracker:
     """Failures of endpoints that one entry knows of.
 
     Attributes
@@ -59,17 +59,17 @@
     peer_backoff_until
         End of the backoff that follows from reports of peers, by endpoint, on
         the monotonic clock, in seconds.
-    alive_at
+    last_activity_at
         When each endpoint last sent anything to this entry, on the monotonic
         clock, in seconds.
 
     Examples
     --------
-    >>> tracker = FailureBook()
-    >>> tracker.failed('e1', now=10)
+    >>> tracker = FailureTracker()
+    >>> tracker.record_failure('e1', now=10)
     >>> (
-    ...     tracker.is_resting('e1', now=10.3),
-    ...     tracker.is_resting('e1', now=10.5),
+    ...     tracker.is_backing_off('e1', now=10.3),
+    ...     tracker.is_backing_off('e1', now=10.5),
     ... )
     (True, False)
     """
@@ -77,9 +77,9 @@
     def __init__(self) -> None:
         self.streaks: dict[EndpointId, FailureStreak] = {}
         self.peer_backoff_until: dict[EndpointId, float] = {}
-        self.alive_at: dict[EndpointId, float] = {}
+        self.last_activity_at: dict[EndpointId, float] = {}
 
-    def failed(self, endpoint: EndpointId, now: float) -> None:
+    def record_failure(self, endpoint: EndpointId, now: float) -> None:
         """Record that an attempt at an endpoint failed."""
         streak = self.streaks.setdefault(endpoint, FailureStreak())
         backoff = min(
@@ -88,26 +88,26 @@
         streak.failures += 1
         streak.backoff_until = now + backoff
 
-    def answered(self, endpoint: EndpointId) -> None:
+    def record_answer(self, endpoint: EndpointId) -> None:
         """Record that an endpoint answered, which ends all its backoffs."""
         self.streaks.pop(endpoint, None)
         self.peer_backoff_until.pop(endpoint, None)
 
-    def sent_something(self, endpoint: EndpointId, now: float) -> None:
+    def record_activity(self, endpoint: EndpointId, now: float) -> None:
         """Record that an endpoint sent anything to this entry."""
-        self.alive_at[endpoint] = now
+        self.last_activity_at[endpoint] = now
 
-    def is_doubtful(self, endpoint: EndpointId) -> bool:
+    def has_repeated_failures(self, endpoint: EndpointId) -> bool:
         """Return whether several attempts in a row failed at an endpoint."""
         streak = self.streaks.get(endpoint)
         return streak is not None and streak.failures > 1
 
-    def is_resting(self, endpoint: EndpointId, now: float) -> bool:
+    def is_backing_off(self, endpoint: EndpointId, now: float) -> bool:
         """Return whether this entry backs off from an endpoint."""
         is_reported = now < self.peer_backoff_until.get(endpoint, 0)
         return is_reported or self._has_own_backoff(endpoint, now)
 
-    def to_tell(self, now: float) -> tuple[EndpointId, ...]:
+    def endpoints_to_report(self, now: float) -> tuple[EndpointId, ...]:
         """Return the failing endpoints to report to peers."""
         failing = [
             endpoint
@@ -116,7 +116,7 @@
         ]
         return tuple(failing) if len(failing) <= MAX_REPORTED else ()
 
-    def hear(
+    def handle_report(
         self,
         endpoints: Iterable[EndpointId],
         now: float,
@@ -136,14 +136,14 @@
         added = [
             endpoint
             for endpoint in failing
-            if not self.is_resting(endpoint, now)
+            if not self.is_backing_off(endpoint, now)
         ]
         for endpoint in failing:
             self.peer_backoff_until[endpoint] = now + INITIAL_BACKOFF_SECONDS
         return added
 
     def _is_alive(self, endpoint: EndpointId, now: float) -> bool:
-        alive_at = self.alive_at.get(endpoint)
+        alive_at = self.last_activity_at.get(endpoint)
         return (
             alive_at is not None and now - alive_at <= RECENT_ACTIVITY_SECONDS
         )
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/quarantine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/quarantine.py
@@ -55,7 +55,7 @@
     QUARANTINE_SECONDS,
     CrashRegistry,
 )
-from .trials import seconds_to_try
+from .trials import seconds_to_trial
 
 #: Crashes with a content as the only suspect from which on it is the certain
 #: cause. One does not suffice: the entry that had sent the actual cause may
@@ -63,7 +63,7 @@
 _CONCLUSIVE_CRASHES = 2
 #: Quarantine of a content that may be a bystander, in seconds. Crashed
 #: endpoints are back by then. Each further crash multiplies the time.
-DOUBT_SECONDS = 10.0
+SHORT_QUARANTINE_SECONDS = 10.0
 _QUARANTINE_GROWTH = 9.0
 
 
@@ -80,8 +80,8 @@
     >>> quarantine = Quarantine()
     >>> for name in ('e1', 'e2'):
     ...     crashed = EndpointLifetime(name, 5)
-    ...     quarantine.crashed(b'digest', crashed, 10, had_just_begun=True)
-    >>> quarantine.is_held(b'digest', now=11)
+    ...     quarantine.record_crash(b'digest', crashed, 10, had_just_begun=True)
+    >>> quarantine.is_quarantined(b'digest', now=11)
     True
     """
 
@@ -89,7 +89,7 @@
         self.book = CrashRegistry()
         self._mass_crashes = MassCrashDetector()
 
-    def crashed(
+    def record_crash(
         self,
         content: ContentDigest,
         endpoint: EndpointLifetime,
@@ -111,11 +111,11 @@
             now,
         )
 
-    def answered(self, content: ContentDigest, now: float) -> None:
+    def record_answer(self, content: ContentDigest, now: float) -> None:
         """Record that a request was answered completely."""
         self.book.clear(content, now)
 
-    def hear(
+    def handle_reports(
         self,
         reports: Iterable[CrashReport],
         now: float,
@@ -129,13 +129,13 @@
         """
         added = []
         for report in reports:
-            was_quarantined = self.is_held(report.content, now)
+            was_quarantined = self.is_quarantined(report.content, now)
             self.book.merge(report, now)
-            if not was_quarantined and self.is_held(report.content, now):
+            if not was_quarantined and self.is_quarantined(report.content, now):
                 added.append(report.content)
         return added
 
-    def is_held(self, content: ContentDigest, now: float) -> bool:
+    def is_quarantined(self, content: ContentDigest, now: float) -> bool:
         """Return whether a content is in quarantine."""
         return self.seconds_left(content, now) > 0
 
@@ -151,17 +151,17 @@
     def is_in_doubt(self, content: ContentDigest, now: float) -> bool:
         """Return whether a content needs a trial before it is accepted."""
         is_known = self.book.find_suspect(content, now) is not None
-        return is_known and not self.is_held(content, now)
+        return is_known and not self.is_quarantined(content, now)
 
-    def seconds_to_try(self, content: ContentDigest, now: float) -> float:
+    def seconds_to_trial(self, content: ContentDigest, now: float) -> float:
         """Return the time until a suspect content may be tried, in seconds."""
         record = self.book.records[content]
-        seconds = seconds_to_try(record, now)
+        seconds = seconds_to_trial(record, now)
         if seconds is None:
             return record.last_crash_at + QUARANTINE_SECONDS - now
         return seconds
 
-    def grant_try(self, content: ContentDigest, now: float) -> int:
+    def grant_trial(self, content: ContentDigest, now: float) -> int:
         """Grant a trial of a suspect content, if one is permitted now.
 
         Returns
@@ -171,24 +171,24 @@
         """
         if not self.is_in_doubt(content, now):
             return 0
-        if self.seconds_to_try(content, now):
+        if self.seconds_to_trial(content, now):
             return 0
         number = self.book.records[content].tries + 1
-        self.tried(content, number, now)
+        self.record_trial(content, number, now)
         return number
 
-    def tried(self, content: ContentDigest, number: int, now: float) -> None:
+    def record_trial(self, content: ContentDigest, number: int, now: float) -> None:
         """Record a trial of a content by its number."""
         record = self.book.records.get(content)
         if record is not None:
             record.record_trials(number, now, now)
 
-    def crashes(self, content: ContentDigest) -> int:
+    def crash_count(self, content: ContentDigest) -> int:
         """Return how many crashes count against a content."""
         record = self.book.records.get(content)
-        return 0 if record is None else record.counted
+        return 0 if record is None else record.crash_count
 
-    def fellow_suspects(self, content: ContentDigest) -> set[ContentDigest]:
+    def other_suspects(self, content: ContentDigest) -> set[ContentDigest]:
         """Return the other suspects of the crashes of a content."""
         record = self.book.records.get(content)
         crashes = () if record is None else record.suspected_endpoints
@@ -199,10 +199,10 @@
         sole_suspect_crashes = sum(share >= 1 for share in shares)
         if sole_suspect_crashes >= _CONCLUSIVE_CRASHES:
             return QUARANTINE_SECONDS
-        return _short_quarantine_seconds(record.counted)
+        return _short_quarantine_seconds(record.crash_count)
 
 
 def _short_quarantine_seconds(crashes: int) -> float:
     """Return the quarantine of a content that may be a bystander."""
     further = max(0, crashes - MAX_CRASHES_ALLOWED - 1)
-    return min(QUARANTINE_SECONDS, DOUBT_SECONDS * _QUARANTINE_GROWTH**further)
+    return min(QUARANTINE_SECONDS, SHORT_QUARANTINE_SECONDS * _QUARANTINE_GROWTH**further)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/rate_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/rate_limits.py
@@ -75,9 +75,9 @@
         Requests that this entry sent, to any endpoint.
     peer_sends
         Requests that peers reported to have sent, by endpoint and peer.
-    entries
+    entry_count
         Number of entries that send to the same endpoints, including this one.
-    part
+    reporting_fraction
         Fraction of the entries whose reports are received, from 0 to 1.
 
     Examples
@@ -94,10 +94,10 @@
 
     def __init__(self, entry: EntryId) -> None:
         self.entry = entry
-        self.entries = 1
+        self.entry_count = 1
         self.reported: dict[EndpointLifetime, ReportedLimit] = {}
         self.peer_sends: dict[EndpointLifetime, dict[PeerId, PeerSends]] = {}
-        self.part: float = 1
+        self.reporting_fraction: float = 1
         self.own_sends = RecentSends()
 
     @property
@@ -143,7 +143,7 @@
         limit = self.limit(endpoint, now)
         if limit is None:
             return True
-        rate = limit * self.part
+        rate = limit * self.reporting_fraction
         jitter = self._jitter(endpoint, now)
         return all(
             self._count_sends(endpoint, window + jitter, now)
@@ -199,7 +199,7 @@
             if lifetime.endpoint in endpoints
         )
 
-    def everything(self, now: float) -> tuple[LimitReport, ...]:
+    def all_reports(self, now: float) -> tuple[LimitReport, ...]:
         """Return the reports to peers about all endpoints.
 
         Endpoints with an older limit and no recent sends are left out, because
@@ -243,7 +243,7 @@
         its class and field names.
         """
         max_jitter = min(
-            MAX_JITTER_SECONDS, _JITTER_PER_ENTRY * (self.entries - 1)
+            MAX_JITTER_SECONDS, _JITTER_PER_ENTRY * (self.entry_count - 1)
         )
         period = int(now / _JITTER_PERIOD_SECONDS)
         return max_jitter * stable_part(f'{self.entry} {endpoint} {period}')
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/retry_allowance.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/retry_allowance.py
@@ -15,7 +15,7 @@
 import msgspec
 
 
-class AllowanceBounds(msgspec.Struct, frozen=True, kw_only=True):
+class RetryBudgetLimit(msgspec.Struct, frozen=True, kw_only=True):
     """The operator's limit on retries, for all entries together.
 
     Attributes
@@ -38,7 +38,7 @@
 _USABLE_FRACTION = 0.7
 
 
-class RetryAllowance:
+class SharedRetryBudget:
     """Retries that this entry may send for one service.
 
     Attributes
@@ -54,23 +54,23 @@
 
     Examples
     --------
-    >>> budget = RetryAllowance(AllowanceBounds(ratio=0, slack=4))
-    >>> [budget.take(now=0, entries=2) for _ in range(2)]
+    >>> budget = SharedRetryBudget(RetryBudgetLimit(ratio=0, slack=4))
+    >>> [budget.try_acquire(now=0, entries=2) for _ in range(2)]
     [True, False]
     """
 
-    def __init__(self, bounds: AllowanceBounds) -> None:
+    def __init__(self, bounds: RetryBudgetLimit) -> None:
         self.bounds = bounds
         self.first_attempts: deque[float] = deque()
         self.retries: deque[float] = deque()
         self.max_entries = 1
 
-    def first_try(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Record the first attempt of a request."""
         self.first_attempts.append(now)
         self._drop_expired(now)
 
-    def take(self, now: float, entries: int) -> bool:
+    def try_acquire(self, now: float, entries: int) -> bool:
         """Consume one retry of the budget; return whether one was left.
 
         Parameters
@@ -79,12 +79,12 @@
             Number of entries that share the limit. The largest number seen so
             far is used, because unreachable entries may still send retries.
         """
-        has_room = self.has_room(now, entries)
-        if has_room:
+        has_capacity = self.has_capacity(now, entries)
+        if has_capacity:
             self.retries.append(now)
-        return has_room
+        return has_capacity
 
-    def has_room(self, now: float, entries: int) -> bool:
+    def has_capacity(self, now: float, entries: int) -> bool:
         """Return whether a retry would be permitted, without consuming it.
 
         Parameters
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/return_times.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/return_times.py
@@ -46,14 +46,14 @@
     jitter: float
 
 
-def spread(seconds: float, caller: CallerTime) -> float:
+def with_jitter(seconds: float, caller: CallerTime) -> float:
     """Return a retry time with jitter and within the caller's limit.
 
     Examples
     --------
-    >>> spread(1, CallerTime(remaining_seconds=10, jitter=0.5))
+    >>> with_jitter(1, CallerTime(remaining_seconds=10, jitter=0.5))
     1.0
-    >>> round(spread(60, CallerTime(remaining_seconds=9, jitter=1)), 2)
+    >>> round(with_jitter(60, CallerTime(remaining_seconds=9, jitter=1)), 2)
     2.97
     """
     max_wait = caller.remaining_seconds * _MAX_WAIT_FRACTION
@@ -77,10 +77,10 @@
     >>> round(after_start(2.2, caller), 2)
     2.2
     """
-    return spread(max(_MIN_OUTAGE_SECONDS, unreachable_seconds), caller)
+    return with_jitter(max(_MIN_OUTAGE_SECONDS, unreachable_seconds), caller)
 
 
-def after_load(caller: CallerTime) -> float:
+def after_overload(caller: CallerTime) -> float:
     """Return the retry time for a prompt that would delay other requests.
 
     The end of a burst is unknown, so this is the longest time that callers
@@ -88,10 +88,10 @@
 
     Examples
     --------
-    >>> round(after_load(CallerTime(remaining_seconds=15, jitter=1)), 2)
+    >>> round(after_overload(CallerTime(remaining_seconds=15, jitter=1)), 2)
     4.95
     """
-    return spread(caller.remaining_seconds, caller)
+    return with_jitter(caller.remaining_seconds, caller)
 
 
 def after_limit(seconds: float, caller: CallerTime) -> float:
@@ -107,10 +107,10 @@
     >>> after_limit(0.75, CallerTime(remaining_seconds=10, jitter=0.5))
     0.75
     """
-    return spread(max(_MIN_WAIT_SECONDS, seconds), caller)
+    return with_jitter(max(_MIN_WAIT_SECONDS, seconds), caller)
 
 
-def after_rest(seconds: float, caller: CallerTime) -> float:
+def after_backoff(seconds: float, caller: CallerTime) -> float:
     """Return the retry time if all endpoints requested a backoff.
 
     The time is not shorter than the backoff, unless this leaves the caller too
@@ -124,9 +124,9 @@
 
     Examples
     --------
-    >>> after_rest(2, CallerTime(remaining_seconds=30, jitter=0))
+    >>> after_backoff(2, CallerTime(remaining_seconds=30, jitter=0))
     2.0
-    >>> round(after_rest(60, CallerTime(remaining_seconds=9, jitter=1)), 2)
+    >>> round(after_backoff(60, CallerTime(remaining_seconds=9, jitter=1)), 2)
     2.97
     """
     max_wait = caller.remaining_seconds * _MAX_WAIT_FRACTION
@@ -136,7 +136,7 @@
     return earliest * (1 + _JITTER_FRACTION * caller.jitter)
 
 
-def after_hold(seconds: float, caller: CallerTime) -> float:
+def after_quarantine(seconds: float, caller: CallerTime) -> float:
     """Return the retry time for a quarantined request.
 
     The time may exceed the caller's own time limit, because a caller that
@@ -151,9 +151,9 @@
 
     Examples
     --------
-    >>> after_hold(10, CallerTime(remaining_seconds=3, jitter=0.5))
+    >>> after_quarantine(10, CallerTime(remaining_seconds=3, jitter=0.5))
     11.75
-    >>> after_hold(0, CallerTime(remaining_seconds=3, jitter=0))
+    >>> after_quarantine(0, CallerTime(remaining_seconds=3, jitter=0))
     0.25
     """
     earliest = max(_MIN_WAIT_SECONDS, seconds)
@@ -177,4 +177,4 @@
     >>> after_full(1.7, CallerTime(remaining_seconds=10, jitter=0.5))
     1.7
     """
-    return spread(slot_seconds, caller)
+    return with_jitter(slot_seconds, caller)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/suspect_places.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/suspect_places.py
@@ -18,7 +18,7 @@
 from ...ids import ContentDigest, EndpointId
 
 
-class SuspectPlaces:
+class SuspectLocations:
     """Requests in progress of one entry that are suspected of a crash.
 
     Attributes
@@ -28,12 +28,12 @@
 
     Examples
     --------
-    >>> locations = SuspectPlaces()
+    >>> locations = SuspectLocations()
     >>> locations.begin(b'one', 'e1')
-    >>> locations.with_any({b'one', b'other'})
+    >>> locations.endpoints_with_any({b'one', b'other'})
     {'e1'}
     >>> locations.end(b'one', 'e1')
-    >>> locations.with_any({b'one'})
+    >>> locations.endpoints_with_any({b'one'})
     set()
     """
 
@@ -55,7 +55,7 @@
         if not counts:
             self.by_endpoint.pop(endpoint)
 
-    def with_any(self, requests: Set[ContentDigest]) -> set[EndpointId]:
+    def endpoints_with_any(self, requests: Set[ContentDigest]) -> set[EndpointId]:
         """Return the endpoints at which any of the requests is in progress."""
         return {
             endpoint
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_limits.py
@@ -98,7 +98,7 @@
             RateLimits(EntryId(str(entry))) for entry in range(load.entries)
         ]
         for limits in self.limits:
-            limits.entries = load.entries
+            limits.entry_count = load.entries
             for endpoint in range(load.endpoints):
                 limits.said(lifetime(endpoint), load.rate, 0)
         self.in_flight: deque[tuple[float, int, int]] = deque()
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_rests.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_rests.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..asked_rests import AskedRests
+from ..asked_rests import RequestedBackoffs
 from .builders_limits import SeededRandom, lifetime, max_within
 
 #: Upper bound of the endpoints to which one request is sent.
@@ -104,21 +104,21 @@
 
     def __init__(self, load: BackoffLoad) -> None:
         super().__init__(load)
-        self.backoffs = [AskedRests() for _ in range(load.entries)]
+        self.backoffs = [RequestedBackoffs() for _ in range(load.entries)]
 
     def accepts(self, entry: int, endpoint: int, now: float) -> bool:
-        return self.backoffs[entry].takes(lifetime(endpoint), now)
+        return self.backoffs[entry].accepts(lifetime(endpoint), now)
 
     def record_send(self, entry: int, endpoint: int, now: float) -> None:
-        self.backoffs[entry].sent(lifetime(endpoint), now)
+        self.backoffs[entry].record_send(lifetime(endpoint), now)
 
     def record_refusal(self, entry: int, endpoint: int, now: float) -> None:
-        self.backoffs[entry].said(
+        self.backoffs[entry].record_request(
             lifetime(endpoint), self.load.backoff_seconds, now
         )
 
     def record_acceptance(self, entry: int, endpoint: int) -> None:
-        self.backoffs[entry].accepted(lifetime(endpoint))
+        self.backoffs[entry].record_acceptance(lifetime(endpoint))
 
 
 class SharedWithPeers(ProbeFirst):
@@ -126,7 +126,7 @@
 
     def __init__(self, load: BackoffLoad) -> None:
         super().__init__(load)
-        shared = AskedRests()
+        shared = RequestedBackoffs()
         self.backoffs = [shared for _ in range(load.entries)]
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_trials.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_trials.py
@@ -84,12 +84,12 @@
         quarantine = self.quarantines[entry]
         if not quarantine.is_in_doubt(content, now):
             return True
-        if quarantine.seconds_to_try(content, now):
+        if quarantine.seconds_to_trial(content, now):
             return False
         entries = map(str, range(self.load.entries))
         granter = int(granting_entry(content, entries))
-        number = self.quarantines[granter].grant_try(content, now)
-        quarantine.tried(content, number, now)
+        number = self.quarantines[granter].grant_trial(content, now)
+        quarantine.record_trial(content, number, now)
         return number > 0
 
 
@@ -155,7 +155,7 @@
         now: float,
     ) -> Callable[[], None]:
         def send_request() -> None:
-            is_quarantined = self.quarantines[entry].is_held(content, now)
+            is_quarantined = self.quarantines[entry].is_quarantined(content, now)
             if is_quarantined or not self.policy.may_send(entry, content, now):
                 self._refuse(content, now)
             elif content == CRASHING:
@@ -188,23 +188,23 @@
     ) -> None:
         crashed = EndpointLifetime(EndpointId(f'e{number}'), 5)
         for content in suspects:
-            self.quarantines[at].crashed(
+            self.quarantines[at].record_crash(
                 content, crashed, now, had_just_begun=True
             )
             self.policy.end_attempt(at, content)
         self._send_reports(at, now)
 
     def _record_answer(self, entry: int, now: float) -> None:
-        self.quarantines[entry].answered(BYSTANDER, now)
+        self.quarantines[entry].record_answer(BYSTANDER, now)
         self.policy.end_attempt(entry, BYSTANDER)
         self._send_reports(entry, now)
 
     def _send_reports(self, entry: int, now: float) -> None:
-        reports = self.quarantines[entry].book.everything(now)
+        reports = self.quarantines[entry].book.all_reports(now)
         delivered_at = now + REPORT_DELAY_SECONDS
         for other, quarantine in enumerate(self.quarantines):
             if other != entry:
                 self._schedule(
                     delivered_at,
-                    partial(quarantine.hear, reports, delivered_at),
+                    partial(quarantine.handle_reports, reports, delivered_at),
                 )
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_asked_rests.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_asked_rests.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ..asked_rests import MAX_BACKOFF_SECONDS, PROBE_TIMEOUT_SECONDS, AskedRests
+from ..asked_rests import MAX_BACKOFF_SECONDS, PROBE_TIMEOUT_SECONDS, RequestedBackoffs
 from .builders_limits import lifetime
 from .builders_rests import (
     MAX_WITHIN_BACKOFF,
@@ -78,48 +78,48 @@
 
 def test_shorter_backoff_does_not_end_a_longer_one() -> None:
     """Guards against a request sent within the first of two backoffs."""
-    backoffs = AskedRests()
-    backoffs.said(ENGINE, 5, 10)
-    backoffs.said(ENGINE, 1, 11)
+    backoffs = RequestedBackoffs()
+    backoffs.record_request(ENGINE, 5, 10)
+    backoffs.record_request(ENGINE, 1, 11)
     assert backoffs.seconds_left(ENGINE, 11) == 4
 
 
 def test_answer_to_an_earlier_request_does_not_end_a_backoff() -> None:
     """Guards against a backoff that ends as an earlier stream begins."""
-    backoffs = AskedRests()
-    backoffs.said(ENGINE, 5, 10)
-    backoffs.accepted(ENGINE)
-    assert not backoffs.takes(ENGINE, 11)
+    backoffs = RequestedBackoffs()
+    backoffs.record_request(ENGINE, 5, 10)
+    backoffs.record_acceptance(ENGINE)
+    assert not backoffs.accepts(ENGINE, 11)
 
 
 def test_backoff_of_zero_seconds_is_ignored() -> None:
-    backoffs = AskedRests()
-    backoffs.said(ENGINE, 0, 10)
-    backoffs.sent(ENGINE, 10)
-    assert backoffs.takes(ENGINE, 10)
+    backoffs = RequestedBackoffs()
+    backoffs.record_request(ENGINE, 0, 10)
+    backoffs.record_send(ENGINE, 10)
+    assert backoffs.accepts(ENGINE, 10)
 
 
 def test_excessive_backoff_is_bounded() -> None:
     """Guards against an endpoint that is never used after a wrong value."""
-    backoffs = AskedRests()
-    backoffs.said(ENGINE, 1e300, 0)
-    assert not backoffs.takes(ENGINE, MAX_BACKOFF_SECONDS - 1)
-    assert backoffs.takes(ENGINE, MAX_BACKOFF_SECONDS)
+    backoffs = RequestedBackoffs()
+    backoffs.record_request(ENGINE, 1e300, 0)
+    assert not backoffs.accepts(ENGINE, MAX_BACKOFF_SECONDS - 1)
+    assert backoffs.accepts(ENGINE, MAX_BACKOFF_SECONDS)
 
 
 def test_unanswered_probe_delays_other_requests_until_its_timeout() -> None:
     """Guards against an endpoint that is never used after a lost probe."""
-    backoffs = AskedRests()
-    backoffs.said(ENGINE, 1, 10)
-    backoffs.sent(ENGINE, 11)
-    assert not backoffs.takes(ENGINE, 11)
-    assert backoffs.takes(ENGINE, 11 + PROBE_TIMEOUT_SECONDS)
+    backoffs = RequestedBackoffs()
+    backoffs.record_request(ENGINE, 1, 10)
+    backoffs.record_send(ENGINE, 11)
+    assert not backoffs.accepts(ENGINE, 11)
+    assert backoffs.accepts(ENGINE, 11 + PROBE_TIMEOUT_SECONDS)
 
 
 def test_expired_backoffs_are_dropped() -> None:
     """Guards against memory that grows with each restart of an endpoint."""
-    backoffs = AskedRests()
+    backoffs = RequestedBackoffs()
     for number in range(10_000):
-        backoffs.said(lifetime(number), 1, number)
+        backoffs.record_request(lifetime(number), 1, number)
     assert len(backoffs.backoffs) < 5000
-    assert not backoffs.takes(lifetime(9999), 9999)
+    assert not backoffs.accepts(lifetime(9999), 9999)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_attempts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_attempts.py
@@ -6,7 +6,7 @@
 
 from ....routing import RouteKind
 from ..attempts import AttemptEnd, AttemptLog, NextStep, next_step
-from ..retry_allowance import AllowanceBounds, RetryAllowance
+from ..retry_allowance import RetryBudgetLimit, SharedRetryBudget
 
 KINDS = st.sampled_from(RouteKind)
 ENDS = st.sampled_from([end for end in AttemptEnd if end != 'answered'])
@@ -30,18 +30,18 @@
     results: list[tuple[AttemptLog, NextStep]] = []
     for number, end in enumerate(ends):
         log.begin()
-        log.note(end)
+        log.record(end)
         has_run = end in {AttemptEnd.BROKEN, AttemptEnd.SILENT}
-        log.has_begun = log.has_begun or (has_run and number >= begins_with)
+        log.answer_has_begun = log.answer_has_begun or (has_run and number >= begins_with)
         step = next_step(
             kind,
             end,
             log,
-            may_repeat=True,
+            may_retry=True,
             max_attempts=max_attempts,
         )
         results.append((msgspec.structs.replace(log), step))
-        if step != NextStep.TRY_AGAIN:
+        if step != NextStep.RETRY:
             break
     return results
 
@@ -66,11 +66,11 @@
     for log, step in steps(kind, ends, max_attempts, begins_with):
         if step == NextStep.REFUSE:
             assert log.may_have_run == 0
-        if step != NextStep.TRY_AGAIN:
+        if step != NextStep.RETRY:
             continue
         if not kind.is_idempotent:
             assert log.may_have_run == 0
-        if log.has_begun:
+        if log.answer_has_begun:
             assert kind == RouteKind.RESUMABLE_STREAM
         assert log.may_have_run < max(max_attempts, 1)
 
@@ -82,9 +82,9 @@
 ) -> None:
     log = AttemptLog()
     log.begin()
-    log.note(end)
-    step = next_step(kind, end, log, may_repeat=False, max_attempts=3)
-    assert step != NextStep.TRY_AGAIN
+    log.record(end)
+    step = next_step(kind, end, log, may_retry=False, max_attempts=3)
+    assert step != NextStep.RETRY
 
 
 @given(
@@ -101,15 +101,15 @@
 
     All entries retry as often as they may, without reports from each other.
     """
-    bounds = AllowanceBounds(ratio=0.2, slack=100, window=10)
-    budget = RetryAllowance(bounds)
+    bounds = RetryBudgetLimit(ratio=0.2, slack=100, window=10)
+    budget = SharedRetryBudget(bounds)
     now = float(0)
     retried: list[float] = []
     for _ in range(first_attempts):
-        budget.first_try(now)
+        budget.record_first_attempt(now)
     for gap in gaps:
         now += gap
-        if budget.take(now, entries):
+        if budget.try_acquire(now, entries):
             retried.append(now)
     for moment in retried:
         start = moment - bounds.window
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine.py
@@ -6,7 +6,7 @@
 from ....routing import CrashReport, EndpointLifetime
 from ..crash_records import MAX_SIMULTANEOUS_CRASHES
 from ..crash_registry import MAX_CONTENTS, QUARANTINE_SECONDS
-from ..quarantine import DOUBT_SECONDS, Quarantine
+from ..quarantine import SHORT_QUARANTINE_SECONDS, Quarantine
 
 CRASHING = ContentDigest(b'crashing request')
 #: Crashes that are permitted after the third one.
@@ -30,7 +30,7 @@
     *,
     had_just_begun: bool = True,
 ) -> None:
-    quarantine.crashed(
+    quarantine.record_crash(
         content, lifetime_of(name), now, had_just_begun=had_just_begun
     )
 
@@ -38,9 +38,9 @@
 def test_second_crash_quarantines_a_request_that_had_just_begun() -> None:
     quarantine = Quarantine()
     crash(quarantine, 'e1', 10)
-    assert not quarantine.is_held(CRASHING, 10)
+    assert not quarantine.is_quarantined(CRASHING, 10)
     crash(quarantine, 'e2', 12)
-    assert quarantine.is_held(CRASHING, 12)
+    assert quarantine.is_quarantined(CRASHING, 12)
     assert quarantine.seconds_left(CRASHING, 13) == QUARANTINE_SECONDS - 1
 
 
@@ -50,9 +50,9 @@
     """Guards against a request that streams for a while before each crash."""
     quarantine = Quarantine()
     for number in range(3):
-        assert not quarantine.is_held(CRASHING, 10 + number)
+        assert not quarantine.is_quarantined(CRASHING, 10 + number)
         crash(quarantine, f'e{number}', 10 + number, had_just_begun=False)
-    assert quarantine.is_held(CRASHING, 13)
+    assert quarantine.is_quarantined(CRASHING, 13)
 
 
 def test_bystander_answered_between_crashes_is_not_quarantined() -> None:
@@ -60,8 +60,8 @@
     quarantine = Quarantine()
     for number in range(12):
         crash(quarantine, f'e{number}', 10 + number, BYSTANDER)
-        quarantine.answered(BYSTANDER, 10.5 + number)
-        assert not quarantine.is_held(BYSTANDER, 10.5 + number)
+        quarantine.record_answer(BYSTANDER, 10.5 + number)
+        assert not quarantine.is_quarantined(BYSTANDER, 10.5 + number)
 
 
 def test_cleared_request_is_quarantined_after_further_crashes() -> None:
@@ -69,10 +69,10 @@
     quarantine = Quarantine()
     for number in range(6):
         crash(quarantine, f'e{number}', 10 + number)
-        quarantine.answered(CRASHING, 10.5 + number)
+        quarantine.record_answer(CRASHING, 10.5 + number)
     crash(quarantine, 'e7', 20)
     crash(quarantine, 'e8', 21)
-    assert quarantine.is_held(CRASHING, 21)
+    assert quarantine.is_quarantined(CRASHING, 21)
 
 
 def test_bystander_retried_with_the_cause_is_not_quarantined() -> None:
@@ -81,10 +81,10 @@
     for number in range(2):
         crash(quarantine, f'e{number}', 10 + number)
         crash(quarantine, f'e{number}', 10 + number, BYSTANDER)
-    assert not quarantine.is_held(BYSTANDER, 12)
-    quarantine.answered(BYSTANDER, 12)
-    assert quarantine.is_held(CRASHING, 12)
-    assert not quarantine.is_held(BYSTANDER, 12)
+    assert not quarantine.is_quarantined(BYSTANDER, 12)
+    quarantine.record_answer(BYSTANDER, 12)
+    assert quarantine.is_quarantined(CRASHING, 12)
+    assert not quarantine.is_quarantined(BYSTANDER, 12)
 
 
 def test_cause_is_quarantined_after_three_crashes_among_bystanders() -> None:
@@ -99,8 +99,8 @@
                 10 + number,
                 content_of(other + 9 * number),
             )
-    assert quarantine.is_held(CRASHING, 13)
-    assert not quarantine.is_held(content_of(1), 13)
+    assert quarantine.is_quarantined(CRASHING, 13)
+    assert not quarantine.is_quarantined(content_of(1), 13)
 
 
 def test_bystander_of_all_crashes_has_a_short_quarantine() -> None:
@@ -109,10 +109,10 @@
     for number in range(3):
         crash(quarantine, f'e{number}', 10)
         crash(quarantine, f'e{number}', 10, BYSTANDER)
-    assert quarantine.is_held(BYSTANDER, 10 + DOUBT_SECONDS / 2)
-    assert not quarantine.is_held(BYSTANDER, 10 + DOUBT_SECONDS)
-    quarantine.answered(BYSTANDER, 11 + DOUBT_SECONDS)
-    assert quarantine.is_held(CRASHING, 11 + DOUBT_SECONDS)
+    assert quarantine.is_quarantined(BYSTANDER, 10 + SHORT_QUARANTINE_SECONDS / 2)
+    assert not quarantine.is_quarantined(BYSTANDER, 10 + SHORT_QUARANTINE_SECONDS)
+    quarantine.record_answer(BYSTANDER, 11 + SHORT_QUARANTINE_SECONDS)
+    assert quarantine.is_quarantined(CRASHING, 11 + SHORT_QUARANTINE_SECONDS)
 
 
 def test_bystander_of_a_crash_without_known_cause_has_a_short_quarantine() -> (
@@ -123,7 +123,7 @@
     crash(quarantine, 'e1', 10)
     crash(quarantine, 'e1', 10, BYSTANDER)
     crash(quarantine, 'e2', 11, BYSTANDER)
-    assert not quarantine.is_held(BYSTANDER, 11 + DOUBT_SECONDS)
+    assert not quarantine.is_quarantined(BYSTANDER, 11 + SHORT_QUARANTINE_SECONDS)
 
 
 def test_quarantine_grows_with_each_crash_after_it() -> None:
@@ -131,7 +131,7 @@
     quarantine = Quarantine()
     now, crashes = 10.0, 0
     while now < 300:
-        if not quarantine.is_held(CRASHING, now):
+        if not quarantine.is_quarantined(CRASHING, now):
             crash(quarantine, f'e{crashes}', now, had_just_begun=False)
             crashes += 1
         now += 0.5
@@ -143,18 +143,18 @@
     first, second = Quarantine(), Quarantine()
     crash(first, 'e1', 10)
     crash(second, 'e1', 10.001)
-    second.hear(first.book.news(10.1), 10.1)
-    assert not second.is_held(CRASHING, 10.1)
+    second.handle_reports(first.book.recent_reports(10.1), 10.1)
+    assert not second.is_quarantined(CRASHING, 10.1)
 
 
 def test_endpoint_that_restarts_with_its_id_counts_again() -> None:
     quarantine = Quarantine()
     for started_ms in (5, 6):
         endpoint = lifetime_of('e1', started_ms)
-        quarantine.crashed(
+        quarantine.record_crash(
             CRASHING, endpoint, 10 + started_ms, had_just_begun=True
         )
-    assert quarantine.is_held(CRASHING, 20)
+    assert quarantine.is_quarantined(CRASHING, 20)
 
 
 def test_crashes_observed_by_several_entries_add_up() -> None:
@@ -162,15 +162,15 @@
     first, second = Quarantine(), Quarantine()
     crash(first, 'e1', 10)
     crash(second, 'e2', 11)
-    assert second.hear(first.book.news(11), 11) == [CRASHING]
-    assert not second.hear(first.book.news(11.1), 11.1)
+    assert second.handle_reports(first.book.recent_reports(11), 11) == [CRASHING]
+    assert not second.handle_reports(first.book.recent_reports(11.1), 11.1)
 
 
 def test_age_of_a_crash_is_kept_between_entries_with_different_clocks() -> None:
     first, second = Quarantine(), Quarantine()
     crash(first, 'e1', 10)
     crash(first, 'e2', 11)
-    second.hear(first.book.everything(41), 7000)
+    second.handle_reports(first.book.all_reports(41), 7000)
     assert second.seconds_left(CRASHING, 7000) == QUARANTINE_SECONDS - 30
 
 
@@ -183,15 +183,15 @@
         crash(quarantine, f'e{number}', 10, BYSTANDER)
     assert len(quarantine.book.records) <= MAX_SIMULTANEOUS_CRASHES + 1
     crash(quarantine, 'e100', 10.2, CRASHING)
-    assert not quarantine.is_held(CRASHING, 11)
+    assert not quarantine.is_quarantined(CRASHING, 11)
 
 
 def test_quarantine_ends() -> None:
     quarantine = Quarantine()
     crash(quarantine, 'e1', 10)
     crash(quarantine, 'e2', 11)
-    assert not quarantine.is_held(CRASHING, 11 + QUARANTINE_SECONDS)
-    assert not quarantine.book.may_know(CRASHING[:8])
+    assert not quarantine.is_quarantined(CRASHING, 11 + QUARANTINE_SECONDS)
+    assert not quarantine.book.may_contain(CRASHING[:8])
 
 
 def test_many_other_contents_do_not_end_a_quarantine() -> None:
@@ -203,7 +203,7 @@
         content = content_of(number)
         crash(quarantine, f'x{number}', 3 + number, content)
     assert len(quarantine.book.records) == MAX_CONTENTS
-    assert quarantine.is_held(CRASHING, 500)
+    assert quarantine.is_quarantined(CRASHING, 500)
 
 
 def test_late_entry_receives_all_crashes_by_rotation() -> None:
@@ -214,7 +214,7 @@
         crash(first, f'e{number}', number, content)
         crash(first, f'x{number}', number, content)
     for tick in range(10):
-        late.hear(first.book.in_turn(200 + tick), 200 + tick)
+        late.handle_reports(first.book.rotating_reports(200 + tick), 200 + tick)
     assert late.book.records.keys() == first.book.records.keys()
 
 
@@ -226,16 +226,16 @@
         crash(first, f'x{number}', number, content_of(number))
     for tick in range(20):
         now = 200 + tick
-        late.hear(first.book.in_turn(now), now)
+        late.handle_reports(first.book.rotating_reports(now), now)
         for _ in range(4):
-            first.book.in_turn(now)
+            first.book.rotating_reports(now)
     assert late.book.records.keys() == first.book.records.keys()
 
 
 @pytest.mark.parametrize('age', [QUARANTINE_SECONDS, 1e9])
 def test_report_that_is_too_old_is_ignored(age: float) -> None:
     quarantine = Quarantine()
-    quarantine.hear([CrashReport(CRASHING, lifetime_of('e1'), age)], 10)
+    quarantine.handle_reports([CrashReport(CRASHING, lifetime_of('e1'), age)], 10)
     assert not quarantine.book.records
 
 
@@ -244,15 +244,15 @@
     [
         (1, 0, 0, 0),
         (2, 0, 0, QUARANTINE_SECONDS),
-        (1, 1, 0, DOUBT_SECONDS),
+        (1, 1, 0, SHORT_QUARANTINE_SECONDS),
         (0, 2, 0, 0),
-        (0, 3, 0, DOUBT_SECONDS),
-        (1, 2, 0, DOUBT_SECONDS),
+        (0, 3, 0, SHORT_QUARANTINE_SECONDS),
+        (1, 2, 0, SHORT_QUARANTINE_SECONDS),
         (2, 1, 0, QUARANTINE_SECONDS),
         (0, 0, 2, 0),
-        (0, 0, 3, DOUBT_SECONDS),
-        (0, 4, 0, 9 * DOUBT_SECONDS),
-        (0, 5, 0, 81 * DOUBT_SECONDS),
+        (0, 0, 3, SHORT_QUARANTINE_SECONDS),
+        (0, 4, 0, 9 * SHORT_QUARANTINE_SECONDS),
+        (0, 5, 0, 81 * SHORT_QUARANTINE_SECONDS),
         (0, 6, 0, QUARANTINE_SECONDS),
     ],
 )
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine_machine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine_machine.py
@@ -44,7 +44,7 @@
         self.now += 1
         self.crashed_endpoints += 1
         self.crashes[content] += 1
-        self.quarantines[entry].crashed(
+        self.quarantines[entry].record_crash(
             content,
             EndpointLifetime(EndpointId('e'), self.crashed_endpoints),
             self.now,
@@ -53,8 +53,8 @@
 
     @rule(entry=entry_numbers, content=request_digests)
     def request_is_answered(self, entry: int, content: ContentDigest) -> None:
-        self.quarantines[entry].answered(content, self.now)
-        assert not self.quarantines[entry].is_held(content, self.now)
+        self.quarantines[entry].record_answer(content, self.now)
+        assert not self.quarantines[entry].is_quarantined(content, self.now)
 
     @rule(entry=entry_numbers)
     def entry_restarts(self, entry: int) -> None:
@@ -62,31 +62,31 @@
 
     @rule(entry=entry_numbers)
     def entry_sends_reports(self, entry: int) -> None:
-        message = self.quarantines[entry].book.in_turn(self.now)
+        message = self.quarantines[entry].book.rotating_reports(self.now)
         self.in_flight.append((self.now, message))
 
     @rule(entry=entry_numbers, index=st.integers(0, 50))
     def message_arrives(self, entry: int, index: int) -> None:
         if self.in_flight:
             sent = self.in_flight[index % len(self.in_flight)]
-            self.quarantines[entry].hear(sent[1], self.now)
+            self.quarantines[entry].handle_reports(sent[1], self.now)
 
     @rule()
     def all_entries_exchange_reports(self) -> None:
         for _ in range(2):
             messages = [
-                quarantine.book.everything(self.now)
+                quarantine.book.all_reports(self.now)
                 for quarantine in self.quarantines
             ]
             for quarantine in self.quarantines:
                 for message in messages:
-                    quarantine.hear(message, self.now)
+                    quarantine.handle_reports(message, self.now)
         for content in DIGESTS:
             assert len(set(self.quarantine_states(content))) == 1
 
     def quarantine_states(self, content: ContentDigest) -> list[bool]:
         return [
-            quarantine.is_held(content, self.now)
+            quarantine.is_quarantined(content, self.now)
             for quarantine in self.quarantines
         ]
 
@@ -94,8 +94,8 @@
     def nothing_is_quarantined_without_crashes(self) -> None:
         for quarantine in self.quarantines:
             for content, crashes in self.crashes.items():
-                assert quarantine.crashes(content) <= crashes
-                assert crashes > 1 or not quarantine.is_held(content, self.now)
+                assert quarantine.crash_count(content) <= crashes
+                assert crashes > 1 or not quarantine.is_quarantined(content, self.now)
 
 
 TestQuarantine = QuarantineMachine.TestCase
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_rate_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_rate_limits.py
@@ -143,7 +143,7 @@
     """Guards against two halves of a fleet that each use the complete rate."""
     limits = RateLimits(ENTRY)
     limits.said(ENGINE, 2, 10)
-    limits.part = 0.5
+    limits.reporting_fraction = 0.5
     sent = 0
     for step in range(40):
         if limits.has_room(ENGINE, 10 + step / 10):
@@ -186,7 +186,7 @@
     limits = RateLimits(ENTRY)
     for number in range(500):
         limits.said(lifetime(number), 1, number)
-        limits.everything(number)
+        limits.all_reports(number)
     assert len(limits.reported) <= LIMIT_VALID_SECONDS + 1
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_trials.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_trials.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ..crash_registry import QUARANTINE_SECONDS
-from ..quarantine import DOUBT_SECONDS, Quarantine
+from ..quarantine import SHORT_QUARANTINE_SECONDS, Quarantine
 from ..trials import MOST_TRIES, TRIAL_TIMEOUT_SECONDS, granting_entry
 from .builders_trials import (
     BYSTANDER,
@@ -22,7 +22,7 @@
     TrialLoad(entries=26, crashing_per_s=40),
     TrialLoad(crashing_per_s=40, bystander_per_s=1),
 )
-QUARANTINE_END = 10 + DOUBT_SECONDS
+QUARANTINE_END = 10 + SHORT_QUARANTINE_SECONDS
 
 
 def after_three_crashes(now: float = 10) -> Quarantine:
@@ -65,14 +65,14 @@
     last_refusal_at = (
         TrialSimulation(OneInFleet(load)).run(SEED).last_refusal_at
     )
-    assert last_refusal_at < DOUBT_SECONDS + 2
+    assert last_refusal_at < SHORT_QUARANTINE_SECONDS + 2
 
 
 def test_trials_do_not_overlap() -> None:
     quarantine = after_three_crashes()
-    assert not quarantine.grant_try(CRASHING, QUARANTINE_END - 1)
-    assert quarantine.grant_try(CRASHING, QUARANTINE_END) == 1
-    assert not quarantine.grant_try(
+    assert not quarantine.grant_trial(CRASHING, QUARANTINE_END - 1)
+    assert quarantine.grant_trial(CRASHING, QUARANTINE_END) == 1
+    assert not quarantine.grant_trial(
         CRASHING, QUARANTINE_END + TRIAL_TIMEOUT_SECONDS - 1
     )
 
@@ -80,9 +80,9 @@
 def test_trial_without_known_end_is_followed_by_another() -> None:
     """Guards against a bystander that is refused after its trial is lost."""
     quarantine = after_three_crashes()
-    quarantine.grant_try(CRASHING, QUARANTINE_END)
+    quarantine.grant_trial(CRASHING, QUARANTINE_END)
     assert (
-        quarantine.grant_try(CRASHING, QUARANTINE_END + TRIAL_TIMEOUT_SECONDS)
+        quarantine.grant_trial(CRASHING, QUARANTINE_END + TRIAL_TIMEOUT_SECONDS)
         == 2
     )
 
@@ -93,39 +93,39 @@
     granted = [
         now
         for now in range(int(QUARANTINE_SECONDS))
-        if quarantine.grant_try(CRASHING, float(now))
+        if quarantine.grant_trial(CRASHING, float(now))
     ]
     assert len(granted) == MOST_TRIES
     assert (
-        quarantine.seconds_to_try(CRASHING, 100)
+        quarantine.seconds_to_trial(CRASHING, 100)
         == 10 + QUARANTINE_SECONDS - 100
     )
 
 
 def test_request_without_known_crashes_is_granted_no_trial() -> None:
     """Guards against grants by an entry that has not received the reports."""
-    assert not Quarantine().grant_try(CRASHING, 10)
+    assert not Quarantine().grant_trial(CRASHING, 10)
 
 
 def test_trials_are_reported_to_the_entry_that_is_chosen_next() -> None:
     """Guards against three more trials after each entry that dies."""
     first, second = after_three_crashes(), after_three_crashes()
     for number in range(MOST_TRIES):
-        assert first.grant_try(
+        assert first.grant_trial(
             CRASHING, QUARANTINE_END + number * TRIAL_TIMEOUT_SECONDS
         )
     later = QUARANTINE_END + MOST_TRIES * TRIAL_TIMEOUT_SECONDS
-    second.hear(first.book.in_turn(later), later)
-    assert not second.grant_try(CRASHING, later + TRIAL_TIMEOUT_SECONDS)
+    second.handle_reports(first.book.rotating_reports(later), later)
+    assert not second.grant_trial(CRASHING, later + TRIAL_TIMEOUT_SECONDS)
 
 
 def test_answer_to_a_trial_ends_the_suspicion_at_all_entries() -> None:
     """Guards against a bystander that is refused after it was cleared."""
     first, second = after_three_crashes(), after_three_crashes()
-    first.grant_try(BYSTANDER, QUARANTINE_END)
-    first.answered(BYSTANDER, QUARANTINE_END + 1)
-    second.hear(first.book.news(QUARANTINE_END + 1), QUARANTINE_END + 1)
-    assert not second.is_held(BYSTANDER, QUARANTINE_END + 1)
+    first.grant_trial(BYSTANDER, QUARANTINE_END)
+    first.record_answer(BYSTANDER, QUARANTINE_END + 1)
+    second.handle_reports(first.book.recent_reports(QUARANTINE_END + 1), QUARANTINE_END + 1)
+    assert not second.is_quarantined(BYSTANDER, QUARANTINE_END + 1)
     assert not second.is_in_doubt(BYSTANDER, QUARANTINE_END + 1)
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/trials.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/trials.py
@@ -29,7 +29,7 @@
 TRIAL_TIMEOUT_SECONDS = 12.0
 #: Time for which an entry must have run without suspension before it grants
 #: trials, in seconds. It has received all reports of its peers by then.
-STEADY_SECONDS = 3.0
+MIN_UNINTERRUPTED_SECONDS = 3.0
 #: An entry grants trials only if it receives reports from more than this
 #: fraction of all entries, including itself.
 _QUORUM_FRACTION = 0.5
@@ -67,12 +67,12 @@
     (True, False, False)
     """
     return (
-        uninterrupted_seconds >= STEADY_SECONDS
+        uninterrupted_seconds >= MIN_UNINTERRUPTED_SECONDS
         and reachable_fraction > _QUORUM_FRACTION
     )
 
 
-def seconds_to_try(record: CrashRecord, now: float) -> float | None:
+def seconds_to_trial(record: CrashRecord, now: float) -> float | None:
     """Return the time until a trial is permitted, in seconds.
 
     None if no further trial is permitted.
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
@@ -112,7 +112,7 @@
     async def _attempt_until_answered(self, call: AttemptCall) -> None:
         relay = AnswerRelay(self.answer, call.route, self._record_first_event)
         placer = Placer(self.context, call)
-        self.context.allowance(call.service.service).first_try(self._now())
+        self.context.allowance(call.service.service).record_first_attempt(self._now())
         if call.service.engine is not None:
             dispatcher = self.context.dispatcher
             dispatcher.record_arrival(
@@ -150,7 +150,7 @@
                 await attempt.run(relay)
         except AttemptError as error:
             return await self._handle_failure(call, attempt, error, relay)
-        self.attempts.note(AttemptEnd.ANSWERED)
+        self.attempts.record(AttemptEnd.ANSWERED)
         self.crashes.record_answer(call)
         self.outcome.label = 'answered'
         return True
@@ -188,8 +188,8 @@
         relay: AnswerRelay,
     ) -> bool:
         """Handle a failed attempt; return whether the request is over."""
-        self.attempts.note(error.end)
-        self.attempts.has_begun = self.answer.has_begun
+        self.attempts.record(error.end)
+        self.attempts.answer_has_begun = self.answer.has_begun
         await self.crashes.handle_failed_attempt(call, attempt, error)
         at_fault = self._exclude(attempt, error)
         step = self._next_step(call, error.end)
@@ -206,13 +206,13 @@
             content=call.content.digest_for_log(error.end),
             step=step,
         )
-        if step == NextStep.TRY_AGAIN:
+        if step == NextStep.RETRY:
             self.context.metrics.retries.add(error.end)
             return False
         if step == NextStep.REFUSE:
             caller = call.caller_time(self._now())
             raise Refusal.from_endpoint(caller, error.detail)
-        if step == NextStep.HAND_ON:
+        if step == NextStep.RELAY_FAILURE:
             await self.outcome.relay_failure(relay)
             return True
         await self.outcome.fail()
@@ -244,21 +244,21 @@
             kind,
             end,
             self.attempts,
-            may_repeat=True,
+            may_retry=True,
             max_attempts=call.route.max_attempts,
         )
-        if step != NextStep.TRY_AGAIN:
+        if step != NextStep.RETRY:
             return step
         allowance = self.context.allowance(call.service.service)
         # Without a connection, nothing reached an endpoint. Another attempt
         # does not count as a retry then.
-        if not end.was_sent or allowance.take(now, self.context.entries):
+        if not end.was_sent or allowance.try_acquire(now, self.context.entries):
             return step
         return next_step(
             kind,
             end,
             self.attempts,
-            may_repeat=False,
+            may_retry=False,
             max_attempts=call.route.max_attempts,
         )
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/refusals.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/refusals.py
@@ -4,7 +4,7 @@
 from types import MappingProxyType
 from typing import Self
 
-from sycamore_core.decisions.direct import CallerTime, spread
+from sycamore_core.decisions.direct import CallerTime, with_jitter
 from tornado.httputil import HTTPHeaders
 
 from .caller import CallerAnswer
@@ -79,7 +79,7 @@
         return cls(
             RefusalCause.ENDPOINT_REFUSED,
             detail,
-            retry_after=spread(RETRY_AFTER_SECONDS, caller),
+            retry_after=with_jitter(RETRY_AFTER_SECONDS, caller),
         )
 
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
@@ -6,8 +6,8 @@
 from sycamore_core.clock import Clock
 from sycamore_core.decisions.direct import (
     Quarantine,
-    RetryAllowance,
-    SuspectPlaces,
+    SharedRetryBudget,
+    SuspectLocations,
     is_isolated,
 )
 from sycamore_core.ids import EntryId, ServiceId
@@ -60,12 +60,12 @@
     background: set[asyncio.Task[None]] = dataclasses.field(
         default_factory=set,
     )
-    allowances: dict[ServiceId, RetryAllowance] = dataclasses.field(
+    allowances: dict[ServiceId, SharedRetryBudget] = dataclasses.field(
         default_factory=dict,
     )
     quarantine: Quarantine = dataclasses.field(default_factory=Quarantine)
-    suspect_places: SuspectPlaces = dataclasses.field(
-        default_factory=SuspectPlaces,
+    suspect_places: SuspectLocations = dataclasses.field(
+        default_factory=SuspectLocations,
     )
     crash_probe: CrashProbe = dataclasses.field(default_factory=CrashProbe)
     trials: TrialGrants = dataclasses.field(init=False)
@@ -101,10 +101,10 @@
         for allowance in self.allowances.values():
             allowance.bounds = settings.allowance
 
-    def allowance(self, service: ServiceId) -> RetryAllowance:
+    def allowance(self, service: ServiceId) -> SharedRetryBudget:
         """Return the retry allowance of a service."""
         allowance = self.allowances.get(service)
         if allowance is None:
-            allowance = RetryAllowance(self.settings.allowance)
+            allowance = SharedRetryBudget(self.settings.allowance)
             self.allowances[service] = allowance
         return allowance
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/crashes.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/crashes.py
@@ -4,7 +4,7 @@
 import contextlib
 from collections.abc import Iterable, Iterator
 
-from sycamore_core.decisions.direct import AttemptEnd, after_hold
+from sycamore_core.decisions.direct import AttemptEnd, after_quarantine
 from sycamore_core.ids import ContentDigest, EndpointId, EntryId
 from sycamore_core.routing import CrashReport, EndpointRecord
 
@@ -49,7 +49,7 @@
             raise self._quarantine_refusal(call, seconds_left)
         if not self.quarantine.is_in_doubt(content, self._now()):
             return
-        to_try = self.quarantine.seconds_to_try(content, self._now())
+        to_try = self.quarantine.seconds_to_trial(content, self._now())
         if to_try or not await self.context.trials.request_trial(content):
             raise self._quarantine_refusal(call, to_try)
         self.is_trial = True
@@ -58,8 +58,8 @@
         """Return endpoints that have another suspect of the same crash."""
         if not self._may_be_known(call):
             return set()
-        suspects = self.quarantine.fellow_suspects(call.content.digest)
-        return self.context.suspect_places.with_any(suspects)
+        suspects = self.quarantine.other_suspects(call.content.digest)
+        return self.context.suspect_places.endpoints_with_any(suspects)
 
     @contextlib.contextmanager
     def track_attempt(
@@ -82,7 +82,7 @@
     def record_answer(self, call: AttemptCall) -> None:
         """Record that the request got a complete answer."""
         if self._may_be_known(call):
-            self.quarantine.answered(call.content.digest, self._now())
+            self.quarantine.record_answer(call.content.digest, self._now())
 
     async def handle_failed_attempt(
         self,
@@ -106,7 +106,7 @@
 
     def hear(self, reports: Iterable[CrashReport], peer: EntryId) -> None:
         """Record the crashes that a peer reports."""
-        self._log_quarantined(self.quarantine.hear(reports, self._now()), peer)
+        self._log_quarantined(self.quarantine.handle_reports(reports, self._now()), peer)
 
     async def _probe_endpoint(
         self, call: AttemptCall, attempt: Attempt
@@ -126,22 +126,22 @@
     ) -> None:
         now = self._now()
         content = call.content.digest
-        was_held = self.quarantine.is_held(content, now)
-        self.quarantine.crashed(
+        was_held = self.quarantine.is_quarantined(content, now)
+        self.quarantine.record_crash(
             content,
             endpoint.lifetime,
             now,
             had_just_begun=had_just_begun,
         )
         self.context.dispatcher.tell_at_once(endpoint.endpoint)
-        is_held = self.quarantine.is_held(content, now)
+        is_held = self.quarantine.is_quarantined(content, now)
         self.context.log.warning(
             'endpoint_crashed',
             request_id=call.request_id,
             endpoint=endpoint.endpoint,
             content=content.hex(),
             had_just_begun=had_just_begun,
-            crashes=self.quarantine.crashes(content),
+            crashes=self.quarantine.crash_count(content),
             is_held=is_held,
         )
         if is_held and not was_held:
@@ -149,16 +149,16 @@
 
     def _quarantine_refusal(self, call: AttemptCall, seconds: float) -> Refusal:
         content = call.content.digest
-        crashes = self.quarantine.crashes(content)
+        crashes = self.quarantine.crash_count(content)
         return Refusal(
             RefusalCause.CRASHES_ENDPOINTS,
             f'content {content.hex()}, {crashes} crashes,'
             f' quarantined for {seconds:.0f} s',
-            retry_after=after_hold(seconds, call.caller_time(self._now())),
+            retry_after=after_quarantine(seconds, call.caller_time(self._now())),
         )
 
     def _may_be_known(self, call: AttemptCall) -> bool:
-        return self.quarantine.book.may_know(call.content.partial_digest)
+        return self.quarantine.book.may_contain(call.content.partial_digest)
 
     def _log_quarantined(
         self,
@@ -169,7 +169,7 @@
             self.context.log.warning(
                 'content_held',
                 content=content.hex(),
-                crashes=self.quarantine.crashes(content),
+                crashes=self.quarantine.crash_count(content),
                 source=source,
             )
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/answer_observer.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/answer_observer.py
@@ -28,7 +28,7 @@
             # know the limit.
             self._apply_limit(record, head, request_id)
         if not head.has_not_run:
-            self.context.dispatcher.rests.accepted(record.lifetime)
+            self.context.dispatcher.rests.record_acceptance(record.lifetime)
 
     def observe_order_answer(
         self,
@@ -68,7 +68,7 @@
         if seconds is not None:
             now = self.context.clock.monotonic()
             rests = self.context.dispatcher.rests
-            rests.said(record.lifetime, seconds, now)
+            rests.record_request(record.lifetime, seconds, now)
         self.context.log.info(
             'rest_asked_for',
             request_id=request_id,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
@@ -61,7 +61,7 @@
             await self._run_reserved(relay)
         finally:
             dispatcher.end(self.call.request_id, self.placement)
-        dispatcher.failures.answered(self.placement.home.endpoint)
+        dispatcher.failures.record_answer(self.placement.home.endpoint)
         if self.watch.is_short:
             dispatcher.turn_ended(self._now() - started_at)
 
@@ -114,7 +114,7 @@
         candidates = self.context.dispatcher.candidates
         if not candidates.still_takes(self.placement.home, self._now()):
             raise AttemptError(
-                AttemptEnd.HELD_BACK,
+                AttemptEnd.NOT_ACCEPTING,
                 'the endpoint does not accept requests at present',
             )
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
@@ -141,7 +141,7 @@
         if self.has_event or service.engine is None:
             return True
         allowance = self.context.allowance(service.service)
-        return allowance.has_room(self._now(), self.context.entries)
+        return allowance.has_capacity(self._now(), self.context.entries)
 
     def _is_sooner_elsewhere(self) -> bool:
         """Return whether another endpoint would answer sooner.
@@ -166,7 +166,7 @@
     def _has_waited_long(self) -> bool:
         """Return whether a long prompt moves for any cause of its delay."""
         primary = self.placement.home.endpoint
-        if self.context.dispatcher.failures.is_doubtful(primary):
+        if self.context.dispatcher.failures.has_repeated_failures(primary):
             return True
         timeout = self.call.route.time_limit * _LONG_TIMEOUT_SHARE
         return self._now() - self._last_activity_at() >= timeout
@@ -195,7 +195,7 @@
         """Return when the endpoint last sent this entry an event."""
         primary = self.placement.home.endpoint
         failures = self.context.dispatcher.failures
-        return failures.alive_at.get(primary, 0)
+        return failures.last_activity_at.get(primary, 0)
 
     def _last_activity_at(self) -> float:
         """Return the time of the last activity that counts for the request.
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
@@ -208,7 +208,7 @@
 
     def _apply_failing(self, update: LoadUpdate, now: float) -> None:
         failures = self.context.dispatcher.failures
-        for endpoint in failures.hear(update.failing, now):
+        for endpoint in failures.handle_report(update.failing, now):
             self.log.info(
                 'endpoint_failing_by_peer',
                 endpoint=endpoint,
@@ -302,8 +302,8 @@
             )
         self.context.entries = self.membership.expected
         limits = self.context.dispatcher.limits
-        limits.part = self.membership.heard_part
-        limits.entries = len(self.membership.near()) + 1
+        limits.reporting_fraction = self.membership.heard_part
+        limits.entry_count = len(self.membership.near()) + 1
         self.keeper.pace.entries = self.membership.expected
         cells = self.membership.cells
         if cells != self.context.dispatcher.cells.zones:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
@@ -39,8 +39,8 @@
             is_whole=False,
             shares=self.registry.own_shares(endpoints, now),
             turns_per_s=self.registry.short_requests.rate(now),
-            failing=context.dispatcher.failures.to_tell(now),
-            crashes=context.quarantine.book.news(now),
+            failing=context.dispatcher.failures.endpoints_to_report(now),
+            crashes=context.quarantine.book.recent_reports(now),
             limits=self.limits.reports(set(endpoints), now),
         )
 
@@ -51,8 +51,8 @@
             is_whole=True,
             members=self._all_living(own_cell=True),
             leaving=self.context.keeper.leaving.recent(),
-            crashes=self.context.quarantine.book.in_turn(now),
-            limits=self.limits.everything(now),
+            crashes=self.context.quarantine.book.rotating_reports(now),
+            limits=self.limits.all_reports(now),
         )
 
     def introduction(self, now: float) -> LoadUpdate:
@@ -62,7 +62,7 @@
             peers=tuple(self.membership.members),
             members=self._all_living(own_cell=False),
             leaving=self.context.keeper.leaving.all_known(),
-            crashes=self.context.quarantine.book.everything(now),
+            crashes=self.context.quarantine.book.all_reports(now),
         )
 
     def summary(self, receiver: str, now: float) -> CellSummary:
@@ -87,7 +87,7 @@
             contacts=tuple(self._contacts()),
             leaving=context.keeper.leaving.recent(),
             turns_per_s=self.registry.predicted_demand(now).short_requests_per_s,
-            crashes=context.quarantine.book.in_turn(now),
+            crashes=context.quarantine.book.rotating_reports(now),
             limits=self._limits_in(zone, now, name),
         )
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/candidates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/candidates.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 
 import msgspec
-from sycamore_core.decisions.direct import AskedRests, RateLimits
+from sycamore_core.decisions.direct import RequestedBackoffs, RateLimits
 from sycamore_core.ids import EndpointId
 from sycamore_core.routing import EndpointRecord, ServiceRecord
 
@@ -36,7 +36,7 @@
         self,
         keeper: FleetKeeper,
         limits: RateLimits,
-        backoffs: AskedRests,
+        backoffs: RequestedBackoffs,
     ) -> None:
         self.keeper = keeper
         self.limits = limits
@@ -64,7 +64,7 @@
         """
         registered = self.keeper.directory.find(record.endpoint)
         is_leaving = registered is not None and registered.is_leaving
-        is_backing_off = self.backoffs.is_resting(record.lifetime, now)
+        is_backing_off = self.backoffs.is_backing_off(record.lifetime, now)
         return not (is_leaving or is_backing_off)
 
     def prefer_unlimited(
@@ -100,7 +100,7 @@
     def _accepts(self, record: EndpointRecord, now: float) -> bool:
         lifetime = record.lifetime
         has_capacity = self.limits.has_room(lifetime, now)
-        return has_capacity and self.backoffs.takes(lifetime, now)
+        return has_capacity and self.backoffs.accepts(lifetime, now)
 
     def _wait(self, record: EndpointRecord, now: float) -> Wait:
         rate_wait = self.limits.seconds_to_room(record.lifetime, now)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
@@ -6,10 +6,10 @@
 import msgspec
 from sycamore_core.clock import Clock
 from sycamore_core.decisions.direct import (
-    AskedRests,
+    RequestedBackoffs,
     Assignment,
     CellView,
-    FailureBook,
+    FailureTracker,
     KnownEngine,
     LoadRegistry,
     RateLimits,
@@ -90,9 +90,9 @@
         self.clock = clock
         self.book = LoadRegistry()
         self.cells = CellView(zone=zone)
-        self.failures = FailureBook()
+        self.failures = FailureTracker()
         self.limits = RateLimits(entry)
-        self.rests = AskedRests()
+        self.rests = RequestedBackoffs()
         self.candidates = Candidates(keeper, self.limits, self.rests)
         self.has_sent = asyncio.Event()
         self._tie_breakers: dict[EndpointId, float] = {}
@@ -163,7 +163,7 @@
         now = self.clock.monotonic()
         for record in (placed.home, *placed.helpers):
             self.limits.sent(record.lifetime, now)
-            self.rests.sent(record.lifetime, now)
+            self.rests.record_send(record.lifetime, now)
 
     def order_sent(self, record: EndpointRecord) -> None:
         """Count an order towards the rate limit; it arrives like a request."""
@@ -171,7 +171,7 @@
 
     def sent_something(self, endpoint: EndpointId) -> None:
         """Record that an endpoint sent something, so it is alive."""
-        self.failures.sent_something(endpoint, self.clock.monotonic())
+        self.failures.record_activity(endpoint, self.clock.monotonic())
 
     def record_arrival(self, costs: EngineCosts, prompt_tokens: int) -> None:
         """Record the arrival of a request, if its prompt is short."""
@@ -184,7 +184,7 @@
 
     def failed(self, endpoint: EndpointId) -> None:
         """Record that an attempt at an endpoint failed."""
-        self.failures.failed(endpoint, self.clock.monotonic())
+        self.failures.record_failure(endpoint, self.clock.monotonic())
         # The next load update reports the failure to the peers.
         self.book.changed.add(endpoint)
 
@@ -202,7 +202,7 @@
 
     def _known_engine(self, record: EndpointRecord, now: float) -> KnownEngine:
         endpoint = record.endpoint
-        has_failed = self.failures.is_resting(endpoint, now)
+        has_failed = self.failures.is_backing_off(endpoint, now)
         return KnownEngine(
             endpoint=endpoint,
             zone=record.zone,
@@ -214,7 +214,7 @@
         calls = self.book.load(endpoint, now).requests + self._tie_breaker(
             endpoint
         )
-        has_failed = self.failures.is_resting(endpoint, now)
+        has_failed = self.failures.is_backing_off(endpoint, now)
         return calls + _FAILURE_EXTRA_CALLS if has_failed else calls
 
     def _tie_breaker(self, endpoint: EndpointId) -> float:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
@@ -7,8 +7,8 @@
     ReadRequest,
     after_full,
     after_limit,
-    after_load,
-    after_rest,
+    after_overload,
+    after_backoff,
     after_start,
     is_worth_reading,
 )
@@ -153,7 +153,7 @@
             RefusalCause.INTERFERENCE,
             f'interference {plan.interference:.1f}, weight {request.weight:.1f},'
             f' expected {plan.expected_ms:.0f} ms',
-            retry_after=after_load(self.call.caller_time(now)),
+            retry_after=after_overload(self.call.caller_time(now)),
         )
 
     async def _wait_for_slot(
@@ -203,7 +203,7 @@
             return Refusal(
                 RefusalCause.ENDPOINTS_BACKING_OFF,
                 f'all endpoints are backing off for {wait.seconds:.2f} s',
-                retry_after=after_rest(wait.seconds, caller),
+                retry_after=after_backoff(wait.seconds, caller),
             )
         if not self._has_untried(excluded):
             return Refusal.from_endpoint(caller)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/settings.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/settings.py
@@ -1,7 +1,7 @@
 """Settings of one forwarding entry."""
 
 import msgspec
-from sycamore_core.decisions.direct import AllowanceBounds
+from sycamore_core.decisions.direct import RetryBudgetLimit
 from sycamore_core.ids import EntryId, ZoneId
 
 #: Default time within which a change takes effect, in seconds. Callers who
@@ -43,6 +43,6 @@
     peers: str = ''
     metrics: str = ''
     seeds: tuple[str, ...] = ()
-    allowance: AllowanceBounds = AllowanceBounds()
+    allowance: RetryBudgetLimit = RetryBudgetLimit()
     stop_seconds: float = 8
     change_seconds: float = CHANGE_SECONDS
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_crash.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_crash.py
@@ -5,7 +5,7 @@
 from collections.abc import AsyncIterator, Iterable
 
 from sycamore_core.decisions.direct import Assignment
-from sycamore_core.decisions.direct.quarantine import DOUBT_SECONDS
+from sycamore_core.decisions.direct.quarantine import SHORT_QUARANTINE_SECONDS
 from sycamore_core.ids import (
     ContentDigest,
     EndpointId,
@@ -114,7 +114,7 @@
         CrashReport(
             content,
             EndpointLifetime(EndpointId(f'gone-{number}'), 5),
-            DOUBT_SECONDS + 1,
+            SHORT_QUARANTINE_SECONDS + 1,
             had_just_begun=True,
         )
         for content in (suspect, digest_of(b'beside it'))
@@ -125,14 +125,14 @@
 def add_suspect(context: ForwardingContext, body: bytes) -> None:
     """Add a suspect request, whose quarantine has just ended, to an entry."""
     reports = ambiguous_crashes(digest_of(body))
-    context.quarantine.hear(reports, context.clock.monotonic())
+    context.quarantine.handle_reports(reports, context.clock.monotonic())
 
 
 def add_common_crash(context: ForwardingContext, *bodies: bytes) -> None:
     """Record one crash with several requests at an entry."""
     gone = EndpointLifetime(EndpointId('gone'), 5)
     for body in bodies:
-        context.quarantine.crashed(
+        context.quarantine.record_crash(
             digest_of(body),
             gone,
             context.clock.monotonic(),
@@ -167,4 +167,4 @@
 def known_crashes(process: ForwardingProcess) -> int:
     """Return the number of crashes that an entry knows."""
     quarantine = process.context.quarantine
-    return sum(map(quarantine.crashes, quarantine.book.records))
+    return sum(map(quarantine.crash_count, quarantine.book.records))
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_asked_rest.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_asked_rest.py
@@ -181,7 +181,7 @@
     async with entry_before(SAFE, failing, full) as entry:
         dispatcher = entry.context.dispatcher
         now = entry.context.clock.monotonic()
-        dispatcher.rests.said(full.record(SERVICE).lifetime, LONG_BACKOFF, now)
+        dispatcher.rests.record_request(full.record(SERVICE).lifetime, LONG_BACKOFF, now)
         assert is_answered(await entry.ask())
     assert len(failing.requests) == 2
     assert not full.requests
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_crashing_requests.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_crashing_requests.py
@@ -79,7 +79,7 @@
                 answer = await caller.ask(body=POISON)
                 assert answer.startswith(b'HTTP/1.1 502')
         async with asyncio.timeout(5):
-            while not first.context.quarantine.is_held(
+            while not first.context.quarantine.is_quarantined(
                 *quarantined_content(second)
             ):
                 await asyncio.sleep(0.01)
@@ -119,7 +119,7 @@
         crash_endpoints_with_requests(endpoints)
         assert (await asking).startswith(b'HTTP/1.1 200')
         quarantine = entry.context.quarantine
-    assert [one.counted for one in quarantine.book.records.values()] == [0]
+    assert [one.crash_count for one in quarantine.book.records.values()] == [0]
 
 
 async def test_broken_connection_does_not_count_as_crash() -> None:
@@ -137,7 +137,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against simultaneous trials at all entries."""
-    monkeypatch.setattr(trials, 'STEADY_SECONDS', 0)
+    monkeypatch.setattr(trials, 'MIN_UNINTERRUPTED_SECONDS', 0)
     endpoints = crashing_endpoints(ENTRY_COUNT + 1)
     listed = await snapshot_of(SAFE, endpoints)
     async with running(entries(ENTRY_COUNT, snapshot=listed)) as made:
@@ -155,7 +155,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against refusing a harmless request after it was cleared."""
-    monkeypatch.setattr(trials, 'STEADY_SECONDS', 0)
+    monkeypatch.setattr(trials, 'MIN_UNINTERRUPTED_SECONDS', 0)
     endpoints = crashing_endpoints(2)
     listed = await snapshot_of(SAFE, endpoints)
     async with running(entries(ENTRY_COUNT, snapshot=listed)) as made:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
@@ -99,5 +99,5 @@
         failures = second.context.dispatcher.failures
         now = second.context.clock.monotonic
         async with asyncio.timeout(5):
-            while not failures.is_resting(ENDPOINT.endpoint, now()):
+            while not failures.is_backing_off(ENDPOINT.endpoint, now()):
                 await asyncio.sleep(0.01)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from sycamore_core.decisions.direct import AllowanceBounds, Assignment
+from sycamore_core.decisions.direct import RetryBudgetLimit, Assignment
 from sycamore_core.ids import EndpointId, RequestId
 from sycamore_core.routing import RouteKind
 
@@ -138,7 +138,7 @@
     idle = RawEndpoint('e2', answer_at_once)
     async with entry_before(STREAM, late, idle) as entry:
         allowance = entry.context.allowance(MODEL)
-        allowance.bounds = AllowanceBounds(ratio=0, slack=0)
+        allowance.bounds = RetryBudgetLimit(ratio=0, slack=0)
         start_long_prompt(entry, 'e2')
         asking = asyncio.create_task(entry.ask(Prompt='4000'))
         while not late.requests:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials.py
@@ -2,7 +2,7 @@
 
 from sycamore_core.clock import ManualClock
 from sycamore_core.decisions.direct import Quarantine
-from sycamore_core.decisions.direct.trials import STEADY_SECONDS
+from sycamore_core.decisions.direct.trials import MIN_UNINTERRUPTED_SECONDS
 from sycamore_core.ids import ContentDigest, PeerId, ZoneId
 from sycamore_core.membership import Membership
 from sycamore_core.membership.members import NEAR_SILENCE
@@ -45,7 +45,7 @@
         )
         for number in range(others):
             self.receive_update(f'tcp://other-{number}')
-        self.run(STEADY_SECONDS)
+        self.run(MIN_UNINTERRUPTED_SECONDS)
 
     def receive_update(self, address: str) -> None:
         now = self.clock.monotonic()
@@ -61,7 +61,7 @@
     def add_suspect(self, suspect: ContentDigest = CONTENT) -> None:
         """Record crashes of a suspect whose quarantine has ended."""
         reports = ambiguous_crashes(suspect)
-        self.quarantine.hear(reports, self.clock.monotonic())
+        self.quarantine.handle_reports(reports, self.clock.monotonic())
 
     def grant_to_peer(self, content: ContentDigest = CONTENT) -> int:
         """Return the number of the trial that is granted to a peer."""
@@ -93,7 +93,7 @@
     entry.add_suspect()
     entry.clock.advance(SUSPENSION_SECONDS)
     assert not entry.grant_to_peer()
-    entry.run(STEADY_SECONDS)
+    entry.run(MIN_UNINTERRUPTED_SECONDS)
     assert entry.grant_to_peer()
 
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials_machine.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials_machine.py
@@ -93,7 +93,7 @@
         other = self.all_entries.entries[place]
         other.fleet.answer(answers, TrialWanted(content))
         now = self.clock.monotonic()
-        self.quarantine.tried(content, answers.number, now)
+        self.quarantine.record_trial(content, answers.number, now)
         return answers.number > 0
 
     def hear(self, sender: 'Entry') -> None:
@@ -104,11 +104,11 @@
         address = sender.membership.address
         if self.membership.hear(address, ZONE, PeerId(address), now):
             self.fleet.met(now)
-        self.quarantine.hear(sender.quarantine.book.in_turn(now), now)
+        self.quarantine.handle_reports(sender.quarantine.book.rotating_reports(now), now)
 
     def know_of_crashes(self) -> None:
         reports = ambiguous_crashes(CONTENT)
-        self.quarantine.hear(reports, self.clock.monotonic())
+        self.quarantine.handle_reports(reports, self.clock.monotonic())
 
 
 class TrialsMachine(RuleBasedStateMachine):
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/trials.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/trials.py
@@ -45,7 +45,7 @@
 
     def grant(self, content: ContentDigest) -> int:
         """Return the number of the granted trial; 0 if none is due now."""
-        return self.quarantine.grant_try(content, self.clock.monotonic())
+        return self.quarantine.grant_trial(content, self.clock.monotonic())
 
 
 class FleetGrants(TrialGrants):
@@ -154,5 +154,5 @@
         finally:
             self.pending.pop(content)
         now = self.local_grants.clock.monotonic()
-        self.local_grants.quarantine.tried(content, number, now)
+        self.local_grants.quarantine.record_trial(content, number, now)
         return number
--- a/packages/sycamore-standins/src/sycamore_standins/passes/replay.py
+++ b/packages/sycamore-standins/src/sycamore_standins/passes/replay.py
@@ -8,7 +8,7 @@
     LoadRegistry,
     ReadPlan,
     ReadRequest,
-    after_load,
+    after_overload,
     assignments_of,
     is_short_request,
 )
@@ -114,7 +114,7 @@
         """Refuse a prompt that takes more from others than it is worth."""
         left = answer.request.at + _LIMIT_SECONDS - self.timeline.now
         number = stable_part(answer.request.request_id)
-        self._refuse(answer, after_load(CallerTime(left, number)))
+        self._refuse(answer, after_overload(CallerTime(left, number)))
 
     def _refuse(self, answer: Answer, seconds: float) -> None:
         """Refuse a request; its caller may come back after some time."""
