--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -105,7 +105,7 @@
     request = requests[number % len(requests)]
     placed = placement.place(request, pool, 1, draw)
     if placed.endpoint is not None:
-        pool.note_send(placed.endpoint, request, placed.new_tokens)
+        pool.record_send(placed.endpoint, request, placed.new_tokens)
         pool.find(placed.endpoint).sent_tokens = 0
 
 
@@ -113,7 +113,7 @@
     """Measure the taking of one report."""
     pool = build_pool(size)
     views = [candidate.view for candidate in pool]
-    return microseconds(lambda number: pool.take_report(views[number % size]))
+    return microseconds(lambda number: pool.apply_report(views[number % size]))
 
 
 def observing(size: int) -> float:
--- a/packages/sycamore-core/src/sycamore_core/decisions/affinity.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/affinity.py
@@ -24,7 +24,7 @@
 
 #: Maximum number of blocks in an index. A prompt of 10,000 tokens in blocks of
 #: 256 tokens takes ten. The benchmark `decision_cost` gives the memory used.
-INDEX_BLOCKS = 20_000
+MAX_INDEX_BLOCKS = 20_000
 #: Maximum number of endpoints recorded for one block, the latest ones.
 MAX_HOLDERS_PER_BLOCK = 32
 #: Number of holders found at which a lookup skips the shallower blocks.
@@ -106,7 +106,7 @@
     PrefixMatches(blocks={'e1': 2}, uses=1)
     """
 
-    def __init__(self, limit: int = INDEX_BLOCKS) -> None:
+    def __init__(self, limit: int = MAX_INDEX_BLOCKS) -> None:
         self.limit = limit
         self.block_records: OrderedDict[BlockHash, _BlockRecord] = OrderedDict()
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
@@ -11,12 +11,12 @@
 from ..states import EndpointKind, PromptBand, RefusalReason
 from .admission import retry_seconds
 from .backlog import Backlog
-from .endpoint_book import EndpointBook
+from .endpoint_book import EndpointRegistry
 from .flow import WaitingRequest
 from .least_loaded import LeastLoadedPlacement
 from .ordering import ENGINE_PRIORITIES, target_time
 from .outstanding import SentRequest
-from .pinned import POSTPONED_SECONDS, has_memory, refusal_of
+from .pinned import PLACEMENT_RETRY_SECONDS, has_memory, pinned_refusal
 from .placement import PrefixPlacement
 from .placement_base import PlacementDecision, PlacementReason
 from .requests import RequestView
@@ -51,7 +51,7 @@
     def __init__(
         self,
         backlog: Backlog,
-        endpoints: EndpointBook,
+        endpoints: EndpointRegistry,
         placement: PrefixPlacement,
         draw: Draw,
     ) -> None:
@@ -111,7 +111,7 @@
         if sent is not None:
             workspace = sent.waiting.request.workspace
             self.backlog.usage.usage_of(workspace).running -= 1
-            self.endpoints.note_gone(sent)
+            self.endpoints.record_removed(sent)
         return sent
 
     def _drain_lane(
@@ -154,7 +154,7 @@
             if chosen.reason == PlacementReason.PROMPT_TOO_LONG:
                 return self._refuse_too_long(waiting.request)
             if chosen.reason == PlacementReason.PINNED:
-                self.backlog.postpone(waiting, now + POSTPONED_SECONDS)
+                self.backlog.postpone(waiting, now + PLACEMENT_RETRY_SECONDS)
             return None
         lane.queue.serve(waiting)
         lane.drain.record_sent(waiting.cost)
@@ -180,7 +180,7 @@
         queue: ServiceQueue,
         now: float,
     ) -> Refusal | None:
-        refusal = refusal_of(waiting.request, queue.pool)
+        refusal = pinned_refusal(waiting.request, queue.pool)
         if refusal is None:
             return self.refuse_late(waiting, now)
         self.backlog.remove(refusal.request_id)
@@ -212,9 +212,9 @@
         at random do so in about one of five draws. This raises the p95 of the
         time to first token of short requests.
         """
-        if chosen.reason not in _PREFIX_FREE_REASONS or not pool.calm:
+        if chosen.reason not in _PREFIX_FREE_REASONS or not pool.open_without_long:
             return False
-        return pool.calm.find(chosen.endpoint) is None
+        return pool.open_without_long.find(chosen.endpoint) is None
 
     def _send(
         self,
@@ -237,7 +237,7 @@
         usage = self.backlog.usage.usage_of(request.workspace)
         usage.running += 1
         usage.add(_lease_tokens(request), now)
-        self.endpoints.note_sent(sent)
+        self.endpoints.record_sent(sent)
         if request.band == PromptBand.HUGE:
             # The limits of long work are computed once a second. Without
             # this, a second long prompt would be placed by stale limits.
--- a/packages/sycamore-core/src/sycamore_core/decisions/endpoint_book.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/endpoint_book.py
@@ -17,7 +17,7 @@
 from .outstanding import SentRequest
 from .scheduler import Refusal
 from .service_queue import ServiceQueue
-from .tracked import WINDOW_SECONDS, TrackedCandidate
+from .tracked import PREFILL_WINDOW_SECONDS, TrackedCandidate
 from .views import EndpointView
 from .weight_ramp import WeightRamp
 
@@ -45,32 +45,32 @@
     report: EndpointView
 
 
-class EndpointBook:
+class EndpointRegistry:
     """State of the endpoints of all services."""
 
     def __init__(self) -> None:
-        self.entries: dict[EndpointId, _EndpointRecord] = {}
+        self.records: dict[EndpointId, _EndpointRecord] = {}
         self.health = EndpointHealth()
         self.weight_ramp = WeightRamp()
         self._weights_updated_at = -WEIGHT_INTERVAL_SECONDS
 
     def views(self) -> tuple[EndpointView, ...]:
         """Return the last report of each endpoint."""
-        return tuple(record.report for record in self.entries.values())
+        return tuple(record.report for record in self.records.values())
 
-    def unknown(self, names: Container[EndpointId]) -> list[EndpointId]:
+    def unlisted(self, names: Container[EndpointId]) -> list[EndpointId]:
         """Return the endpoints that are not among `names`."""
-        return [name for name in self.entries if name not in names]
+        return [name for name in self.records if name not in names]
 
-    def take_report(self, queue: ServiceQueue, view: EndpointView) -> None:
+    def apply_report(self, queue: ServiceQueue, view: EndpointView) -> None:
         """Apply a load report of an endpoint."""
-        record = self.entries.get(view.endpoint)
+        record = self.records.get(view.endpoint)
         if record is not None and record.queue is not queue:
             self.remove(view.endpoint)
             record = None
         if record is None:
             record = _EndpointRecord(queue, TrackedCandidate(view=view), view)
-            self.entries[view.endpoint] = record
+            self.records[view.endpoint] = record
             queue.pool.put(record.candidate)
         queue.speed.apply_report(view)
         record.report = view
@@ -80,7 +80,7 @@
 
     def remove(self, endpoint: EndpointId) -> None:
         """Remove an endpoint; the caller handles the requests sent there."""
-        record = self.entries.pop(endpoint, None)
+        record = self.records.pop(endpoint, None)
         if record is None:
             return
         record.queue.pool.remove_everywhere(endpoint)
@@ -91,14 +91,14 @@
         if now - self._weights_updated_at < WEIGHT_INTERVAL_SECONDS:
             return
         self._weights_updated_at = now
-        targets = self.health.weights(self.entries, now)
+        targets = self.health.weights(self.records, now)
         weights = self.weight_ramp.update(targets, now)
-        for name, record in self.entries.items():
+        for name, record in self.records.items():
             record.candidate.weight = weights.get(name, 1)
             self._refresh(record)
             record.queue.pool.invalidate_live_weight()
 
-    def note_sent(self, sent: SentRequest) -> None:
+    def record_sent(self, sent: SentRequest) -> None:
         """Record that a request is offered to an endpoint or a group."""
         charged = self._records_of(sent)
         sent.charged_candidates = tuple(record.candidate for record in charged)
@@ -113,10 +113,10 @@
             )
             self._refresh(record)
 
-    def note_accepted(self, sent: SentRequest, now: float) -> None:
+    def record_accepted(self, sent: SentRequest, now: float) -> None:
         """Record that the endpoint has accepted the request."""
-        expected = WINDOW_SECONDS
-        record = self.entries.get(sent.endpoint)
+        expected = PREFILL_WINDOW_SECONDS
+        record = self.records.get(sent.endpoint)
         if record is not None:
             expected += sent.new_tokens / record.candidate.rate
         self._observe(
@@ -128,7 +128,7 @@
             now,
         )
 
-    def note_declined(self, sent: SentRequest, refusal: Refusal) -> None:
+    def record_declined(self, sent: SentRequest, refusal: Refusal) -> None:
         """Stop sending to endpoints that report being full or draining."""
         for record in self._records_of(sent):
             view = record.candidate.view
@@ -139,11 +139,11 @@
                 view.free_tokens = 0
             self._refresh(record)
 
-    def note_failed(self, sent: SentRequest, now: float) -> None:
+    def record_failed(self, sent: SentRequest, now: float) -> None:
         """Record that a request has failed at an endpoint."""
         self._observe(sent, Observation(kind=ObservationKind.FAILED), now)
 
-    def note_first_token(self, sent: SentRequest, now: float) -> None:
+    def record_first_token(self, sent: SentRequest, now: float) -> None:
         """Record the first token: the prompt has been computed."""
         for holder in self._charged_records(sent):
             holder.candidate.clear_pending(
@@ -152,12 +152,12 @@
             )
             self._refresh(holder)
         seconds = now - sent.sent_at
-        record = self.entries.get(sent.endpoint)
+        record = self.records.get(sent.endpoint)
         if record is None:
             return
         if not sent.members:
             record.candidate.record_first_token(seconds, sent.tokens_ahead)
-        expected = WINDOW_SECONDS + sent.new_tokens / record.candidate.rate
+        expected = PREFILL_WINDOW_SECONDS + sent.new_tokens / record.candidate.rate
         self._observe(
             sent,
             Observation(
@@ -167,7 +167,7 @@
             now,
         )
 
-    def note_gone(self, sent: SentRequest) -> None:
+    def record_removed(self, sent: SentRequest) -> None:
         """Record that a request no longer occupies its endpoints."""
         request = sent.waiting.request
         for record in self._charged_records(sent):
@@ -176,9 +176,9 @@
             record.candidate.remove_request(request, sent.lease_tokens)
             self._refresh(record)
 
-    def note_finished(self, sent: SentRequest, outcome: Outcome, now: float) -> None:
+    def record_finished(self, sent: SentRequest, outcome: Outcome, now: float) -> None:
         """Update health and speed estimates from the end of an answer."""
-        record = self.entries.get(sent.endpoint)
+        record = self.records.get(sent.endpoint)
         if sent.first_token_at is None or outcome == Outcome.FAILED:
             failed = outcome == Outcome.FAILED
             kind = (
@@ -210,13 +210,13 @@
         ]
 
     def _records_of(self, sent: SentRequest) -> Iterable[_EndpointRecord]:
-        found = (self.entries.get(name) for name in sent.endpoints)
+        found = (self.records.get(name) for name in sent.endpoints)
         return [record for record in found if record is not None]
 
     def _observe(
         self, sent: SentRequest, observation: Observation, now: float
     ) -> None:
-        if sent.endpoint in self.entries:
+        if sent.endpoint in self.records:
             self.health.observe(sent.endpoint, observation, now)
 
     def _refresh(self, record: _EndpointRecord) -> None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/fair.py
@@ -25,10 +25,10 @@
 from .admission import decide_admission
 from .backlog import Backlog
 from .dispatching import Decision, Dispatcher
-from .endpoint_book import EndpointBook
+from .endpoint_book import EndpointRegistry
 from .flow import WaitingRequest
 from .ordering import long_work_share
-from .pinned import refusal_of
+from .pinned import pinned_refusal
 from .placement import PrefixPlacement
 from .requests import RequestView
 from .retries import FailedAttempt, RetryBudget
@@ -76,7 +76,7 @@
         self.settings = settings
         self.draw = draw
         self.backlog = Backlog(settings)
-        self.endpoints = EndpointBook()
+        self.endpoints = EndpointRegistry()
         self.dispatcher = Dispatcher(
             self.backlog,
             self.endpoints,
@@ -106,14 +106,14 @@
         self.dispatcher.placement.update_settings(
             _with_effective_share(settings),
         )
-        for name in self.endpoints.unknown(settings.endpoints):
+        for name in self.endpoints.unlisted(settings.endpoints):
             self.endpoints.remove(name)
 
     def update_endpoint(self, view: EndpointView, now: float) -> None:
         """Apply a report of an endpoint."""
         queue = self.backlog.service_queue(view.service)
-        self.endpoints.take_report(queue, view)
-        self.dispatcher.placement.learn(view, now)
+        self.endpoints.apply_report(queue, view)
+        self.dispatcher.placement.record_cached_blocks(view, now)
 
     def remove_endpoint(self, endpoint: EndpointId, now: float) -> None:
         """Remove an endpoint that is silent or gone."""
@@ -122,14 +122,14 @@
     def submit(self, request: RequestView, now: float) -> Queued | Refusal:
         """Admit a request to the queue, or refuse it at once."""
         queue = self.backlog.service_queue(request.service)
-        if not queue.pool.live():
+        if not queue.pool.total_weight():
             return Refusal(
                 request.request_id,
                 RefusalReason.NO_ENDPOINT,
                 NO_ENDPOINT_SECONDS,
                 f'no endpoint of {request.service} accepts requests',
             )
-        refusal = refusal_of(request, queue.pool)
+        refusal = pinned_refusal(request, queue.pool)
         if refusal is not None:
             return refusal
         waiting = queue.build_waiting(request)
@@ -143,7 +143,7 @@
                 verdict.retry_after,
                 verdict.detail,
             )
-        self.retries.first_try(now)
+        self.retries.record_first_attempt(now)
         self.backlog.enqueue(waiting)
         return Queued(estimate.until_first_token)
 
@@ -172,14 +172,14 @@
         """Record that an endpoint runs the request."""
         sent = self.dispatcher.sent.get(request_id)
         if sent is not None:
-            self.endpoints.note_accepted(sent, now)
+            self.endpoints.record_accepted(sent, now)
 
     def declined(self, refusal: Refusal, now: float) -> Requeued | Refusal:
         """Queue the request for another attempt, or refuse it."""
         sent = self.dispatcher.pop_sent(refusal.request_id)
         if sent is None:
             return _unknown_request(refusal.request_id)
-        self.endpoints.note_declined(sent, refusal)
+        self.endpoints.record_declined(sent, refusal)
         return self._retry(sent.waiting, RetryReason.DECLINED, now)
 
     def lost(
@@ -192,7 +192,7 @@
         sent = self.dispatcher.pop_sent(request_id)
         if sent is None:
             return _unknown_request(request_id)
-        self.endpoints.note_failed(sent, now)
+        self.endpoints.record_failed(sent, now)
         return self._retry(sent.waiting, reason, now)
 
     def first_token(self, request_id: RequestId, now: float) -> None:
@@ -201,8 +201,8 @@
         if sent is None or sent.first_token_at is not None:
             return
         sent.first_token_at = now
-        self.retries.answered(now)
-        self.endpoints.note_first_token(sent, now)
+        self.retries.record_answer(now)
+        self.endpoints.record_first_token(sent, now)
 
     def finished(
         self,
@@ -214,7 +214,7 @@
         self.backlog.remove(request_id)
         sent = self.dispatcher.pop_sent(request_id)
         if sent is not None:
-            self.endpoints.note_finished(sent, outcome, now)
+            self.endpoints.record_finished(sent, outcome, now)
 
     def next_wake(self, now: float) -> float:
         """Return when `dispatch` is due next."""
--- a/packages/sycamore-core/src/sycamore_core/decisions/group_reservation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/group_reservation.py
@@ -31,7 +31,7 @@
 from .group_times import (
     RELEASE_SENDS,
     RENEW_INTERVAL_SECONDS,
-    RESEND_SECONDS,
+    RESEND_INTERVAL_SECONDS,
     RESERVATION_TIMEOUT_SECONDS,
 )
 from .long_prompts import Span
@@ -123,7 +123,7 @@
             return False
         return all(member.lease_expires_at > now for member in self.members)
 
-    def take_answer(
+    def handle_answer(
         self,
         endpoint: EndpointId,
         answer: GroupAnswer,
@@ -140,7 +140,7 @@
         ):
             self._fail(ReservationFailure.LEASE_LOST, now)
         elif member.state == GroupMemberState.REQUESTED:
-            member.record_decline(now + max(answer.retry_after, RESEND_SECONDS))
+            member.record_decline(now + max(answer.retry_after, RESEND_INTERVAL_SECONDS))
         self._update_state(now)
 
     def release(self, now: float) -> None:
@@ -189,7 +189,7 @@
             member.begin_release(now)
 
     def _reserve(self, member: GroupMember, now: float) -> Outgoing:
-        number = member.record_request(now, RESEND_SECONDS)
+        number = member.record_request(now, RESEND_INTERVAL_SECONDS)
         message = GroupReserve(
             group=self.group,
             request_id=self.request_id,
@@ -219,7 +219,7 @@
         outgoing = []
         for member in self._members_to_send():
             if member.next_send_at <= now:
-                member.record_release(now + RESEND_SECONDS, RELEASE_SENDS)
+                member.record_release(now + RESEND_INTERVAL_SECONDS, RELEASE_SENDS)
                 message = GroupRelease(group=self.group)
                 outgoing.append(Outgoing(member.endpoint, message))
         return outgoing
--- a/packages/sycamore-core/src/sycamore_core/decisions/group_times.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/group_times.py
@@ -10,7 +10,7 @@
 #: Interval at which an unanswered request is sent again, in seconds. It is well
 #: above the round trip of 3 ms between zones, so few requests are sent twice,
 #: and well below the timeout of the reservation.
-RESEND_SECONDS = 0.5
+RESEND_INTERVAL_SECONDS = 0.5
 #: Time after which the leader abandons the reservation if a member is silent or
 #: stays full, in seconds. Until then, the memory reserved at the other members
 #: is not available to short requests.
--- a/packages/sycamore-core/src/sycamore_core/decisions/least_loaded.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/least_loaded.py
@@ -42,15 +42,15 @@
         """Choose among the open endpoints of a `TrackedPool`."""
         if not isinstance(candidates, TrackedPool) or not candidates.open:
             return _no_endpoint(PlacementReason.MEMORY_FULL)
-        sampled = _sample(candidates.calm or candidates.open, draw)
+        sampled = _sample(candidates.open_without_long or candidates.open, draw)
         fitting = [
-            candidate for candidate in sampled if candidate.has_room(request)
+            candidate for candidate in sampled if candidate.has_capacity(request)
         ]
         if not fitting and request.band != PromptBand.SHORT:
             fitting = [
                 candidate
                 for candidate in candidates.open
-                if candidate.has_room(request)
+                if candidate.has_capacity(request)
             ]
         if not fitting:
             return _no_endpoint(PlacementReason.MEMORY_FULL)
@@ -75,11 +75,11 @@
 
 def _seconds_ahead(candidate: TrackedCandidate) -> float:
     queued = candidate.pending[0] / candidate.rate
-    requests = candidate.present
+    requests = candidate.request_count
     if candidate.view.kind == EndpointKind.PLAIN:
         return float(requests)
     # Each step shared with a long prefill takes as long as one chunk of it.
-    beside_long = 0 if candidate.is_calm else CHUNK_SECONDS
+    beside_long = 0 if candidate.has_no_long_prompt else CHUNK_SECONDS
     return queued + requests * SEQUENCE_SECONDS + beside_long
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/options.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/options.py
@@ -139,7 +139,7 @@
 
 
 def _has_capacity(candidate: Candidate, request: RequestView) -> bool:
-    return candidate.has_room(request)
+    return candidate.has_capacity(request)
 
 
 def random_position(draw: Draw, size: int) -> int:
--- a/packages/sycamore-core/src/sycamore_core/decisions/pinned.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/pinned.py
@@ -15,13 +15,13 @@
 
 #: Delay before a request that found no memory at its endpoint is placed again,
 #: in seconds: a tenth of the interval of load reports.
-POSTPONED_SECONDS = 0.1
+PLACEMENT_RETRY_SECONDS = 0.1
 #: `retry_after` of a request whose endpoint accepts no work, in seconds. A
 #: restart takes seconds; a drained endpoint does not return.
 _RETRY_AFTER_SECONDS = 5.0
 
 
-def refusal_of(request: RequestView, pool: CandidatePool) -> Refusal | None:
+def pinned_refusal(request: RequestView, pool: CandidatePool) -> Refusal | None:
     """Return a refusal if the endpoint of a pinned request cannot run it."""
     endpoint = request.pinned_to
     if endpoint is None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/placement.py
@@ -101,7 +101,7 @@
         self.costs = CostModel(self.zone, settings)
         self.limits.clear()
 
-    def learn(self, view: EndpointView, now: float) -> None:
+    def record_cached_blocks(self, view: EndpointView, now: float) -> None:
         """Record the cached blocks that an endpoint has reported.
 
         Cache events may be late and incomplete, so a block that is not
--- a/packages/sycamore-core/src/sycamore_core/decisions/pool.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/pool.py
@@ -34,7 +34,7 @@
     sent_requests: int = 0
     weight: float = 1
 
-    def has_room(self, request: RequestView) -> bool:
+    def has_capacity(self, request: RequestView) -> bool:
         """Return whether the request fits into the memory of the engine."""
         view = self.view
         if not view.capacity_tokens:
@@ -108,7 +108,7 @@
             self.positions[last.view.endpoint] = position
         self.generation += 1
 
-    def note_send(
+    def record_send(
         self,
         endpoint: EndpointId,
         request: RequestView,
@@ -128,7 +128,7 @@
         candidate.sent_new_tokens += new_tokens
         candidate.sent_requests += 1
 
-    def take_report(self, view: EndpointView) -> None:
+    def apply_report(self, view: EndpointView) -> None:
         """Apply a newer report, which includes the requests sent before."""
         candidate = self.find(view.endpoint)
         weight = 1 if candidate is None else candidate.weight
--- a/packages/sycamore-core/src/sycamore_core/decisions/replays.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/replays.py
@@ -96,8 +96,8 @@
 def _replay_retry(case: RetryCase) -> Explanation:
     budget = RetryBudget()
     for _ in range(case.answered):
-        budget.first_try(case.now)
-        budget.answered(case.now)
+        budget.record_first_attempt(case.now)
+        budget.record_answer(case.now)
     available = budget.available(case.now)
     decision = budget.decide(case.failure, case.now, _draw_from(case.draws))
     refused = decision.refusal is not None
--- a/packages/sycamore-core/src/sycamore_core/decisions/retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/retries.py
@@ -102,15 +102,15 @@
 class RetryBudget:
     """Number of retries that an entry may make, relative to its requests.
 
-    Call `first_try` for each admitted request and `answered` when its first
+    Call `record_first_attempt` for each admitted request and `record_answer` when its first
     token arrives.
 
     Examples
     --------
     >>> budget = RetryBudget()
     >>> for _ in range(10):
-    ...     budget.first_try(now=0)
-    ...     budget.answered(now=0)
+    ...     budget.record_first_attempt(now=0)
+    ...     budget.record_answer(now=0)
     >>> round(budget.available(now=0), 1)
     5.0
     """
@@ -120,11 +120,11 @@
         self.decayed_at = -math.inf
         self.unanswered = 0
 
-    def first_try(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Record a first attempt; its answer adds to the budget."""
         self.unanswered += 1
 
-    def answered(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Record an answer, which adds a part of a retry to the budget."""
         if self.unanswered:
             self.unanswered -= 1
--- a/packages/sycamore-core/src/sycamore_core/decisions/service_queue.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/service_queue.py
@@ -30,7 +30,7 @@
     target_time,
 )
 from .requests import RequestView
-from .tracked import WINDOW_SECONDS, TrackedPool
+from .tracked import PREFILL_WINDOW_SECONDS, TrackedPool
 
 #: Fraction of its target for which the head of a longer lane yields to shorter
 #: lanes at a short emphasis of 1; the other half is left for its prefill.
@@ -165,7 +165,7 @@
             rate=rate,
             tightness=flow.tightness(rate, now),
             rank=flow.record_rank(waiting.density),
-            first_token_seconds=prefill + WINDOW_SECONDS,
+            first_token_seconds=prefill + PREFILL_WINDOW_SECONDS,
             answer_seconds=self.speed.answer_seconds(request),
             share=share,
         )
@@ -224,5 +224,5 @@
 
     def _endpoints_in(self, name: LaneName) -> float:
         if name == LaneName.SHORT:
-            return self.pool.live()
-        return self.pool.live() * long_work_share(self.policy)
+            return self.pool.total_weight()
+        return self.pool.total_weight() * long_work_share(self.policy)
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_groups.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_groups.py
@@ -97,7 +97,7 @@
         if isinstance(packet.message, GroupAnswer):
             leader = self.live_leaders().get(packet.group)
             if leader is not None:
-                leader.take_answer(packet.endpoint, packet.message, self.now)
+                leader.handle_answer(packet.endpoint, packet.message, self.now)
             return
         answer = self.members[packet.endpoint].handle(packet.message, self.now)
         if answer is not None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_placement.py
@@ -168,7 +168,7 @@
             self.next_report += self.interval
         placement, pool = self.entries[int(draw() * len(self.entries))]
         decision = placement.place(arrival.request, pool, arrival.at, draw)
-        pool.note_send(decision.endpoint, arrival.request, decision.new_tokens)
+        pool.record_send(decision.endpoint, arrival.request, decision.new_tokens)
         done = self.engines[decision.endpoint].run(arrival.request, arrival.at)
         return done - arrival.at
 
@@ -176,7 +176,7 @@
         for engine in self.engines.values():
             view = engine.report(now, self.lag)
             for _, pool in self.entries:
-                pool.take_report(view)
+                pool.apply_report(view)
 
 
 def build_engines(size: int, cache_blocks: int = 4000) -> list[EngineModel]:
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_retries.py
@@ -74,10 +74,10 @@
         self.draw = draw
 
     def first_try(self, now):
-        self.budget.first_try(now)
+        self.budget.record_first_attempt(now)
 
     def answered(self, now):
-        self.budget.answered(now)
+        self.budget.record_answer(now)
 
     def retry_at(self, deadline, attempt, now):
         failure = build_failure(
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair.py
@@ -256,7 +256,7 @@
     scheduler.remove_endpoint(sent.endpoint, 0)
     scheduler.update_endpoint(build_view(sent.endpoint), 0)
     scheduler.finished('a', Outcome.COMPLETE, 1)
-    candidate = scheduler.endpoints.entries[sent.endpoint].candidate
+    candidate = scheduler.endpoints.records[sent.endpoint].candidate
     assert candidate.sent_requests == 0
     assert candidate.own_tokens == 0
     assert sum(candidate.pending) == 0
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_machine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_machine.py
@@ -157,7 +157,7 @@
 
     @invariant()
     def counts_at_endpoints_are_never_negative(self):
-        for entry in self.scheduler.endpoints.entries.values():
+        for entry in self.scheduler.endpoints.records.values():
             assert entry.candidate.sent_requests >= 0
             assert entry.candidate.own_tokens >= 0
             assert min(entry.candidate.pending) >= 0
@@ -172,7 +172,7 @@
         assert not self.waiting
         for name in tuple(self.sent):
             self.scheduler.finished(name, Outcome.TIMEOUT, self.now)
-        for entry in self.scheduler.endpoints.entries.values():
+        for entry in self.scheduler.endpoints.records.values():
             assert entry.candidate.own_tokens == 0
             assert not any(entry.candidate.pending)
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
@@ -240,7 +240,7 @@
     first = leader.due(0)[0]
     assert isinstance(first.message, GroupReserve)
     answer = network.members['e1'].handle(first.message, 0)
-    leader.take_answer('e1', type(answer)(group='g0', span=0, granted=True), 2)
+    leader.handle_answer('e1', type(answer)(group='g0', span=0, granted=True), 2)
     assert leader.members[0].lease_expires_at == LEASE_SECONDS
 
 
@@ -252,7 +252,7 @@
     network = GroupNetwork()
     leader = network.start_group(('e1', 'e2'))
     answer = network.members['e1'].handle(leader.due(0)[0].message, 0)
-    leader.take_answer('e1', answer, 0.1)
+    leader.handle_answer('e1', answer, 0.1)
     assert leader.due(3)
-    leader.take_answer('e1', answer, 3.1)
+    leader.handle_answer('e1', answer, 3.1)
     assert leader.members[0].lease_expires_at == LEASE_SECONDS
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_placement.py
@@ -91,7 +91,7 @@
     placement, pool = build_placement(), build_pool(50)
     view = pool[17].view
     view.cached_blocks = frozenset(range(16))
-    placement.learn(view, now=0)
+    placement.record_cached_blocks(view, now=0)
     chosen = place(placement, build_prompt('1', range(20)), pool)
     assert chosen.endpoint == view.endpoint
     assert chosen.matched_blocks == 16
@@ -124,7 +124,7 @@
     request = build_request()
     placement = build_placement()
     first = place(placement, request, pool)
-    pool.note_send(first.endpoint, request, first.new_tokens)
+    pool.record_send(first.endpoint, request, first.new_tokens)
     assert place(placement, request, pool).endpoint is None
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_retries.py
@@ -121,12 +121,12 @@
     def first_try(self, count):
         self.first_tries += count
         for _ in range(count):
-            self.budget.first_try(self.now)
+            self.budget.record_first_attempt(self.now)
 
     @stateful.rule(count=st.integers(1, 200))
     def answer(self, count):
         for _ in range(count):
-            self.budget.answered(self.now)
+            self.budget.record_answer(self.now)
 
     @stateful.rule(seconds=st.floats(0, 60))
     def wait(self, seconds):
--- a/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
@@ -27,7 +27,7 @@
 
 #: Prefill that may be queued at an engine while further requests are sent, in
 #: seconds: a fifth of the tightest target, 0.49 s.
-WINDOW_SECONDS = 0.1
+PREFILL_WINDOW_SECONDS = 0.1
 #: Backlog of other entries from which it is assumed to contain a long prompt,
 #: in seconds of prefill. The windows of ten entries add up to one second.
 LONG_BACKLOG_SECONDS = 1.0
@@ -80,20 +80,20 @@
         return self.view.service_rate or ASSUMED_PREFILL_RATE
 
     @property
-    def present(self) -> int:
+    def request_count(self) -> int:
         """Number of requests at the endpoint, of this and other entries."""
         return self.sent_requests + self.view.running
 
     @property
-    def is_calm(self) -> bool:
+    def has_no_long_prompt(self) -> bool:
         """Whether the endpoint probably computes no long prompt."""
         if any(self.pending[ENGINE_PRIORITIES[PromptBand.LONG] :]):
             return False
         return self.view.backlog_tokens < self.rate * LONG_BACKLOG_SECONDS
 
-    def has_room(self, request: RequestView) -> bool:
+    def has_capacity(self, request: RequestView) -> bool:
         """Return whether the endpoint is open and has the memory."""
-        return self.is_open(request.band) and super().has_room(request)
+        return self.is_open(request.band) and super().has_capacity(request)
 
     def is_open(self, band: PromptBand) -> bool:
         """Return whether more work of a band may be queued at the endpoint."""
@@ -105,12 +105,12 @@
         if not self.live_weight:
             return
         if self.view.kind == EndpointKind.PLAIN:
-            if self.present < MAX_PLAIN_CALLS:
+            if self.request_count < MAX_PLAIN_CALLS:
                 self.open_bands = len(ENGINE_PRIORITIES)
             return
-        if self.present >= self.batch_limit.requests:
+        if self.request_count >= self.batch_limit.requests:
             return
-        window_tokens = self.rate * WINDOW_SECONDS
+        window_tokens = self.rate * PREFILL_WINDOW_SECONDS
         for tokens in self.pending:
             window_tokens -= tokens
             if window_tokens <= 0:
@@ -170,7 +170,7 @@
         steps = EXPECTED_STEPS * self.view.step_seconds
         if steps:
             delay_seconds = seconds - steps - tokens_ahead / self.rate
-            self.batch_limit.record_first_token(delay_seconds, self.present)
+            self.batch_limit.record_first_token(delay_seconds, self.request_count)
 
     def remove_request(self, request: RequestView, lease_tokens: int) -> None:
         """Record that a request is no longer at the endpoint."""
@@ -194,7 +194,7 @@
 
     Attributes
     ----------
-    calm
+    open_without_long
         The open endpoints that compute no long prompt.
     open
         The open endpoints, in arbitrary order. They are kept separately
@@ -207,7 +207,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.open = CandidatePool()
-        self.calm = CandidatePool()
+        self.open_without_long = CandidatePool()
         self.version = 0
         self._live_weight: float | None = None
 
@@ -217,16 +217,16 @@
         is_open = candidate.is_open(PromptBand.SHORT)
         _set_membership(self.open, candidate, is_member=is_open)
         _set_membership(
-            self.calm, candidate, is_member=is_open and candidate.is_calm
+            self.open_without_long, candidate, is_member=is_open and candidate.has_no_long_prompt
         )
 
     def remove_everywhere(self, endpoint: EndpointId) -> None:
         """Remove an endpoint from all pools."""
-        for pool in (self, self.open, self.calm):
+        for pool in (self, self.open, self.open_without_long):
             pool.remove(endpoint)
         self.invalidate_live_weight()
 
-    def live(self) -> float:
+    def total_weight(self) -> float:
         """Return the sum of the weights of the endpoints that accept work."""
         if self._live_weight is None:
             self._live_weight = sum(one.live_weight for one in self)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/leader.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/leader.py
@@ -10,7 +10,7 @@
 )
 from sycamore_core.decisions.group_times import (
     RELEASE_SENDS,
-    RESEND_SECONDS,
+    RESEND_INTERVAL_SECONDS,
 )
 from sycamore_core.decisions.long_prompts import Span
 from sycamore_core.ids import EndpointId, GroupId
@@ -61,7 +61,7 @@
     def take_answer(self, endpoint: EndpointId, answer: GroupAnswer) -> None:
         """Take a member's answer about its lease."""
         now = self.clock.monotonic()
-        self.reservation.take_answer(endpoint, answer, now)
+        self.reservation.handle_answer(endpoint, answer, now)
         self.news.set()
 
     def take_done(self, done: SpanDone) -> None:
@@ -107,7 +107,7 @@
         self.reservation.release(self.clock.monotonic())
         for _ in range(RELEASE_SENDS):
             self._send_due()
-            await asyncio.sleep(RESEND_SECONDS)
+            await asyncio.sleep(RESEND_INTERVAL_SECONDS)
 
     async def _compute(
         self,
