--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -14,7 +14,7 @@
 
 import msgspec
 from sycamore_core.decisions import FairScheduler
-from sycamore_core.decisions.affinity import INDEX_BLOCKS, PrefixIndex
+from sycamore_core.decisions.affinity import MAX_INDEX_BLOCKS, PrefixIndex
 from sycamore_core.decisions.health import (
     EndpointHealth,
     Observation,
@@ -48,7 +48,7 @@
     for size in ENDPOINTS:
         for name, mean in costs(size):
             print(name.ljust(26), size, 'endpoints:', round(mean, 1), 'us')
-    print('index of', INDEX_BLOCKS, 'blocks:', index_bytes(), 'bytes')
+    print('index of', MAX_INDEX_BLOCKS, 'blocks:', index_bytes(), 'bytes')
 
 
 def costs(size: int) -> Iterator[tuple[str, float]]:
@@ -195,7 +195,7 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     index = PrefixIndex()
-    for number in range(INDEX_BLOCKS):
+    for number in range(MAX_INDEX_BLOCKS):
         index.record_block(source.getrandbits(60), EndpointId('e'), number)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/__init__.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/__init__.py
@@ -23,10 +23,10 @@
 from .settings import ForwardingSettings
 from .wire import (
     AnswerHead,
-    AskedRest,
+    RequestedBackoff,
     CallTerms,
     Helper,
-    NamedLimit,
+    AnnouncedLimit,
     Order,
     OutgoingTerms,
     WireFormat,
@@ -34,7 +34,7 @@
 
 __all__ = (
     'AnswerHead',
-    'AskedRest',
+    'RequestedBackoff',
     'CallTerms',
     'Change',
     'ChangeBatch',
@@ -48,7 +48,7 @@
     'ForwardingSettings',
     'Helper',
     'HistoryLostError',
-    'NamedLimit',
+    'AnnouncedLimit',
     'Order',
     'OutgoingTerms',
     'Revision',
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/admission.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/admission.py
@@ -5,7 +5,7 @@
 from sycamore_core.ids import RequestId, ServiceId, WorkspaceId
 from sycamore_core.routing import Route, RoutingTable
 
-from ..calls import AttemptCall
+from ..calls import AdmittedRequest
 from ..content import RequestContent
 from ..context import ForwardingContext
 from ..errors import WireError
@@ -28,7 +28,7 @@
 async def admit(
     context: ForwardingContext,
     request: CallerRequest,
-) -> AttemptCall:
+) -> AdmittedRequest:
     """Return the admitted request.
 
     Raises
@@ -50,14 +50,14 @@
     service = keeper.table.service(_service_of(route, terms.request_id))
     if service is None:
         raise Refusal(RefusalCause.NO_ENDPOINT, 'service not configured')
-    return AttemptCall(
+    return AdmittedRequest(
         request_id=RequestId(terms.request_id),
         terms=terms,
         request=request,
         route=route,
         service=service,
         workspace=workspace,
-        limit=request.arrived_at + _time_limit(route, terms),
+        deadline=request.arrived_at + _time_limit(route, terms),
         content=RequestContent(request, workspace),
     )
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/caller.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/caller.py
@@ -18,7 +18,7 @@
 )
 from tornado.iostream import IOStream, StreamClosedError
 
-from ..errors import CallerLeftError
+from ..errors import CallerDisconnectedError
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
@@ -97,14 +97,14 @@
         try:
             await self.connection.write_headers(start, headers, piece)
         except StreamClosedError as error:
-            raise CallerLeftError from error
+            raise CallerDisconnectedError from error
 
     async def write(self, piece: bytes) -> None:
         """Send the next bytes of an answer that has begun."""
         try:
             await self.connection.write(piece)
         except StreamClosedError as error:
-            raise CallerLeftError from error
+            raise CallerDisconnectedError from error
 
     async def finish(self) -> None:
         """Mark the answer as complete."""
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
@@ -10,14 +10,14 @@
 )
 from sycamore_core.ids import EndpointId
 
-from ..calls import AttemptCall
+from ..calls import AdmittedRequest
 from ..context import ForwardingContext
 from ..crashes import CrashWatch
 from ..decision_log import DecisionLog
 from ..endpoints.attempt import Attempt
 from ..endpoints.relay import AnswerRelay
 from ..endpoints.silence import SilenceWatch
-from ..errors import AttemptError, CallerLeftError
+from ..errors import AttemptError, CallerDisconnectedError
 from ..placement.dispatcher import Placement
 from ..placement.placing import Placer
 from .admission import admit
@@ -65,7 +65,7 @@
         self.crashes = CrashWatch(context)
         self.excluded: set[EndpointId] = set()
         self.failed_at: set[EndpointId] = set()
-        self.call: AttemptCall | None = None
+        self.call: AdmittedRequest | None = None
         self.request_id = context.wire.request_id(request.headers)
         self.outcome = RequestOutcome(
             context, answer, self.attempts, self.request_id
@@ -77,7 +77,7 @@
         """Answer the request, and log and count its outcome."""
         try:
             await self._serve()
-        except CallerLeftError:
+        except CallerDisconnectedError:
             self.outcome.label = 'caller_left'
         except asyncio.CancelledError:
             self.outcome.label = 'caller_left'
@@ -102,14 +102,14 @@
             return
         self.call = call
         try:
-            async with asyncio.timeout(call.limit - self._now()):
+            async with asyncio.timeout(call.deadline - self._now()):
                 await self._attempt_until_answered(call)
         except TimeoutError:
             await self.outcome.time_out()
         except Refusal as refusal:
             await self.outcome.refuse(refusal)
 
-    async def _attempt_until_answered(self, call: AttemptCall) -> None:
+    async def _attempt_until_answered(self, call: AdmittedRequest) -> None:
         relay = AnswerRelay(self.answer, call.route, self._record_first_event)
         placer = Placer(self.context, call)
         self.context.allowance(call.service.service).record_first_attempt(self._now())
@@ -131,11 +131,11 @@
     async def _attempt_at(
         self,
         placement: Placement,
-        call: AttemptCall,
+        call: AdmittedRequest,
         relay: AnswerRelay,
     ) -> bool:
         """Make one attempt; return whether the request is over."""
-        self.last_endpoint = placement.home.endpoint
+        self.last_endpoint = placement.primary.endpoint
         self.decisions.log_placement(call, placement)
         watch = SilenceWatch(
             self.context,
@@ -182,7 +182,7 @@
 
     async def _handle_failure(
         self,
-        call: AttemptCall,
+        call: AdmittedRequest,
         attempt: Attempt,
         error: AttemptError,
         relay: AnswerRelay,
@@ -196,7 +196,7 @@
         self.context.log.info(
             'attempt_failed',
             request_id=call.request_id,
-            endpoint=attempt.placement.home.endpoint,
+            endpoint=attempt.placement.primary.endpoint,
             at_fault=at_fault,
             how=error.end,
             detail=error.detail,
@@ -221,7 +221,7 @@
     def _exclude(self, attempt: Attempt, error: AttemptError) -> EndpointId:
         """Exclude the endpoint at fault from further attempts; return it."""
         dispatcher = self.context.dispatcher
-        at_fault = attempt.placement.home.endpoint
+        at_fault = attempt.placement.primary.endpoint
         if error.faulty_address:
             other = dispatcher.endpoint_at(error.faulty_address)
             at_fault = other or at_fault
@@ -229,15 +229,15 @@
         if error.end == AttemptEnd.FAILED:
             self.failed_at.add(at_fault)
         if error.faulty_address or attempt.shows_fault(error):
-            dispatcher.failed(at_fault)
+            dispatcher.record_failure(at_fault)
         return at_fault
 
-    def _may_move(self, call: AttemptCall) -> bool:
+    def _may_move(self, call: AdmittedRequest) -> bool:
         is_idempotent = call.route.kind.is_idempotent
         possible_runs = self.attempts.may_have_run + 1
         return is_idempotent and possible_runs < call.route.max_attempts
 
-    def _next_step(self, call: AttemptCall, end: AttemptEnd) -> NextStep:
+    def _next_step(self, call: AdmittedRequest, end: AttemptEnd) -> NextStep:
         now = self._now()
         kind = call.route.kind
         step = next_step(
@@ -252,7 +252,7 @@
         allowance = self.context.allowance(call.service.service)
         # Without a connection, nothing reached an endpoint. Another attempt
         # does not count as a retry then.
-        if not end.was_sent or allowance.try_acquire(now, self.context.entries):
+        if not end.was_sent or allowance.try_acquire(now, self.context.entry_count):
             return step
         return next_step(
             kind,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/calls.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/calls.py
@@ -11,7 +11,7 @@
 from .wire import CallTerms
 
 
-class AttemptCall(msgspec.Struct, frozen=True, kw_only=True):
+class AdmittedRequest(msgspec.Struct, frozen=True, kw_only=True):
     """A request that was admitted.
 
     Attributes
@@ -30,12 +30,12 @@
     route: Route
     service: ServiceRecord
     workspace: WorkspaceId | None
-    limit: float
+    deadline: float
     content: RequestContent
 
     def caller_time(self, now: float) -> CallerTime:
         """Return the caller's time left, which bounds its retry delay."""
-        return CallerTime(self.limit - now, stable_part(self.request_id))
+        return CallerTime(self.deadline - now, stable_part(self.request_id))
 
     @property
     def objective_at(self) -> float:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
@@ -20,7 +20,7 @@
 from .metrics import ForwardingMetrics
 from .placement.dispatcher import DirectDispatcher
 from .settings import ForwardingSettings
-from .trials import OwnGrants, TrialGrants
+from .trials import LocalTrialGrants, TrialGrants
 from .wire import WireFormat
 
 
@@ -33,7 +33,7 @@
     entries
         Number of entries that send updates or are named by peers, this entry
         included.
-    peer_heard_at
+    last_peer_message_at
         When the last message of a peer arrived, on the monotonic clock, in
         seconds.
     quarantine
@@ -55,8 +55,8 @@
     metrics: ForwardingMetrics
     log: Log
     is_stopping: bool = False
-    entries: int = 1
-    peer_heard_at: float | None = None
+    entry_count: int = 1
+    last_peer_message_at: float | None = None
     background: set[asyncio.Task[None]] = dataclasses.field(
         default_factory=set,
     )
@@ -73,13 +73,13 @@
 
     def __post_init__(self) -> None:
         self.unknown_headers = UnknownHeaders(self.metrics, self.log)
-        self.trials = OwnGrants(self.quarantine, self.clock)
+        self.trials = LocalTrialGrants(self.quarantine, self.clock)
 
     @property
     def is_isolated(self) -> bool:
         """Whether the entry is cut off from its peers and the platform."""
         return is_isolated(
-            self.peer_heard_at,
+            self.last_peer_message_at,
             self.clock.monotonic(),
             platform_unreachable=self.keeper.is_away,
         )
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/crashes.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/crashes.py
@@ -9,7 +9,7 @@
 from sycamore_core.routing import CrashReport, EndpointRecord
 
 from .callers.refusals import Refusal, RefusalCause
-from .calls import AttemptCall
+from .calls import AdmittedRequest
 from .context import ForwardingContext
 from .endpoints.attempt import Attempt
 from .errors import AttemptError
@@ -33,7 +33,7 @@
         self.quarantine = context.quarantine
         self.is_trial = False
 
-    async def check(self, call: AttemptCall) -> None:
+    async def check(self, call: AdmittedRequest) -> None:
         """Check that the request may be sent to an endpoint.
 
         Raises
@@ -54,7 +54,7 @@
             raise self._quarantine_refusal(call, to_try)
         self.is_trial = True
 
-    def endpoints_to_avoid(self, call: AttemptCall) -> set[EndpointId]:
+    def endpoints_to_avoid(self, call: AdmittedRequest) -> set[EndpointId]:
         """Return endpoints that have another suspect of the same crash."""
         if not self._may_be_known(call):
             return set()
@@ -65,7 +65,7 @@
     def track_attempt(
         self,
         endpoint: EndpointId,
-        call: AttemptCall,
+        call: AdmittedRequest,
     ) -> Iterator[None]:
         """Record that an endpoint has a suspect request, until it ends."""
         if not self._may_be_known(call):
@@ -79,14 +79,14 @@
         finally:
             places.end(content, endpoint)
 
-    def record_answer(self, call: AttemptCall) -> None:
+    def record_answer(self, call: AdmittedRequest) -> None:
         """Record that the request got a complete answer."""
         if self._may_be_known(call):
             self.quarantine.record_answer(call.content.digest, self._now())
 
     async def handle_failed_attempt(
         self,
-        call: AttemptCall,
+        call: AdmittedRequest,
         attempt: Attempt,
         error: AttemptError,
     ) -> None:
@@ -104,14 +104,14 @@
         if attempt.watch.had_just_begun:
             await asyncio.wait((probe,), timeout=_CRASH_PROBE_TIMEOUT_SECONDS)
 
-    def hear(self, reports: Iterable[CrashReport], peer: EntryId) -> None:
+    def handle_reports(self, reports: Iterable[CrashReport], peer: EntryId) -> None:
         """Record the crashes that a peer reports."""
         self._log_quarantined(self.quarantine.handle_reports(reports, self._now()), peer)
 
     async def _probe_endpoint(
-        self, call: AttemptCall, attempt: Attempt
+        self, call: AdmittedRequest, attempt: Attempt
     ) -> None:
-        endpoint = attempt.placement.home
+        endpoint = attempt.placement.primary
         had_just_begun = attempt.watch.had_just_begun
         if not await self.context.crash_probe.has_crashed(endpoint):
             return
@@ -119,7 +119,7 @@
 
     def _record_crash(
         self,
-        call: AttemptCall,
+        call: AdmittedRequest,
         endpoint: EndpointRecord,
         *,
         had_just_begun: bool,
@@ -133,7 +133,7 @@
             now,
             had_just_begun=had_just_begun,
         )
-        self.context.dispatcher.tell_at_once(endpoint.endpoint)
+        self.context.dispatcher.send_update_now(endpoint.endpoint)
         is_held = self.quarantine.is_quarantined(content, now)
         self.context.log.warning(
             'endpoint_crashed',
@@ -147,7 +147,7 @@
         if is_held and not was_held:
             self._log_quarantined((content,), self.context.entry)
 
-    def _quarantine_refusal(self, call: AttemptCall, seconds: float) -> Refusal:
+    def _quarantine_refusal(self, call: AdmittedRequest, seconds: float) -> Refusal:
         content = call.content.digest
         crashes = self.quarantine.crash_count(content)
         return Refusal(
@@ -157,7 +157,7 @@
             retry_after=after_quarantine(seconds, call.caller_time(self._now())),
         )
 
-    def _may_be_known(self, call: AttemptCall) -> bool:
+    def _may_be_known(self, call: AdmittedRequest) -> bool:
         return self.quarantine.book.may_contain(call.content.partial_digest)
 
     def _log_quarantined(
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/decision_log.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/decision_log.py
@@ -1,7 +1,7 @@
 """Log lines that record the basis of decisions about requests."""
 
 from .callers.refusals import Refusal
-from .calls import AttemptCall
+from .calls import AdmittedRequest
 from .context import ForwardingContext
 from .placement.dispatcher import Placement
 
@@ -14,20 +14,20 @@
     def __init__(self, context: ForwardingContext) -> None:
         self.context = context
 
-    def log_placement(self, call: AttemptCall, placement: Placement) -> None:
+    def log_placement(self, call: AdmittedRequest, placement: Placement) -> None:
         """Log the endpoint of a request and the figures behind the choice."""
         keeper = self.context.keeper
         plan = placement.plan
         now = self.context.clock.monotonic()
         seconds_left = call.objective_at - now
-        report_age = self.context.dispatcher.book.report_age(plan.primary, now)
+        report_age = self.context.dispatcher.loads.report_age(plan.primary, now)
         self.context.log.info(
             'request_placed',
             request_id=call.request_id,
             workspace=call.workspace,
             prompt_length=call.terms.prompt_tokens,
-            endpoint=placement.home.endpoint,
-            zone=placement.home.zone,
+            endpoint=placement.primary.endpoint,
+            zone=placement.primary.zone,
             news_age=None if report_age is None else round(report_age, 3),
             helpers=[helper.endpoint for helper in placement.helpers],
             stored=len(plan.helper_tokens),
@@ -38,7 +38,7 @@
             left_ms=round(seconds_left * _MS, 1),
             settings_version=keeper.version,
             settings_age=keeper.age,
-            entries=self.context.entries,
+            entries=self.context.entry_count,
         )
 
     def log_refusal(self, request_id: str, refusal: Refusal) -> None:
@@ -53,5 +53,5 @@
             settings_version=keeper.version,
             settings_age=keeper.age,
             endpoints=len(keeper.directory.records),
-            entries=self.context.entries,
+            entries=self.context.entry_count,
         )
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/answer_observer.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/answer_observer.py
@@ -3,7 +3,7 @@
 from sycamore_core.routing import EndpointRecord
 
 from ..context import ForwardingContext
-from ..wire import NO_LIMIT, NO_REST, AnswerHead
+from ..wire import NO_LIMIT, NO_BACKOFF, AnswerHead
 
 
 class AnswerObserver:
@@ -28,7 +28,7 @@
             # know the limit.
             self._apply_limit(record, head, request_id)
         if not head.has_not_run:
-            self.context.dispatcher.rests.record_acceptance(record.lifetime)
+            self.context.dispatcher.backoffs.record_acceptance(record.lifetime)
 
     def observe_order_answer(
         self,
@@ -62,12 +62,12 @@
         request_id: str,
     ) -> None:
         """Apply the backoff that an endpoint requests."""
-        if head.rest == NO_REST:
+        if head.rest == NO_BACKOFF:
             return
         seconds = head.rest.seconds
         if seconds is not None:
             now = self.context.clock.monotonic()
-            rests = self.context.dispatcher.rests
+            rests = self.context.dispatcher.backoffs
             rests.record_request(record.lifetime, seconds, now)
         self.context.log.info(
             'rest_asked_for',
@@ -92,7 +92,7 @@
         )
         if not is_new:
             return
-        self.context.dispatcher.tell_at_once(record.endpoint)
+        self.context.dispatcher.send_update_now(record.endpoint)
         self.context.log.info(
             'endpoint_leaving_by_answer',
             request_id=request_id,
@@ -118,4 +118,4 @@
                 endpoint=record.endpoint,
                 per_second=limit,
             )
-            dispatcher.tell_at_once(record.endpoint)
+            dispatcher.send_update_now(record.endpoint)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
@@ -10,7 +10,7 @@
 from sycamore_core.ids import EndpointId
 
 from ..errors import AttemptError
-from ..placement.placing import read_request
+from ..placement.placing import make_read_request
 from ..wire import AnswerHead, Helper, OutgoingTerms
 from .answer_observer import AnswerObserver
 from .channel import EndpointChannel
@@ -55,15 +55,15 @@
         """
         dispatcher = self.context.dispatcher
         started_at = self._now()
-        dispatcher.request_sent(self.placement)
+        dispatcher.record_request(self.placement)
         dispatcher.begin(self.call.request_id, self._assignments())
         try:
             await self._run_reserved(relay)
         finally:
             dispatcher.end(self.call.request_id, self.placement)
-        dispatcher.failures.record_answer(self.placement.home.endpoint)
+        dispatcher.failures.record_answer(self.placement.primary.endpoint)
         if self.watch.is_short:
-            dispatcher.turn_ended(self._now() - started_at)
+            dispatcher.record_short_request(self._now() - started_at)
 
     def shows_fault(self, error: AttemptError) -> bool:
         """Return whether an attempt failed because of the endpoint.
@@ -91,7 +91,7 @@
         relay: AnswerRelay,
         reserved: tuple[Helper, ...],
     ) -> None:
-        primary = self.placement.home
+        primary = self.placement.primary
         # A stream counts as idempotent only if it can be resumed. The `fresh`
         # parameter of the pool explains the risk of an idle connection.
         fresh = not self.call.route.kind.is_idempotent
@@ -112,7 +112,7 @@
         and each sends its request although the endpoint has asked for none.
         """
         candidates = self.context.dispatcher.candidates
-        if not candidates.still_takes(self.placement.home, self._now()):
+        if not candidates.still_accepts(self.placement.primary, self._now()):
             raise AttemptError(
                 AttemptEnd.NOT_ACCEPTING,
                 'the endpoint does not accept requests at present',
@@ -128,10 +128,10 @@
         headers = self.context.wire.request_headers(
             call.request.headers,
             OutgoingTerms(
-                endpoint=self.placement.home.endpoint,
+                endpoint=self.placement.primary.endpoint,
                 seconds_left=max(
                     _MIN_SECONDS_LEFT,
-                    self.call.limit - self._now(),
+                    self.call.deadline - self._now(),
                 ),
                 workspace=call.workspace,
                 priority=self._priority(),
@@ -170,7 +170,7 @@
     ) -> None:
         head = await channel.read_head()
         self.observer.observe_answer(
-            self.placement.home,
+            self.placement.primary,
             head,
             self.call.request_id,
         )
@@ -195,7 +195,7 @@
 
     def _on_event(self) -> None:
         dispatcher = self.context.dispatcher
-        dispatcher.sent_something(self.placement.home.endpoint)
+        dispatcher.record_activity(self.placement.primary.endpoint)
         if self.watch.record_event():
             dispatcher.first_event(self.call.request_id, self.placement)
 
@@ -214,7 +214,7 @@
         return _LONG_REQUEST_PRIORITY
 
     def _assignments(self) -> dict[EndpointId, Assignment]:
-        request = read_request(self.call, self._now())
+        request = make_read_request(self.call, self._now())
         plan = self.placement.plan
         return assignments_of(plan, request, self.call.objective_at)
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/reservations.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/reservations.py
@@ -130,7 +130,7 @@
             },
         )
         start = RequestStartLine('POST', order.path, 'HTTP/1.1')
-        self.context.dispatcher.order_sent(record)
+        self.context.dispatcher.record_order(record)
         try:
             async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
                 channel = await self.context.pool.take(record, fresh=False)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
@@ -6,10 +6,10 @@
 from sycamore_core.decisions.direct import is_overdue, is_short_request
 from sycamore_core.routing import EngineCosts
 
-from ..calls import AttemptCall
+from ..calls import AdmittedRequest
 from ..context import ForwardingContext
 from ..placement.dispatcher import Placement
-from ..placement.placing import read_request
+from ..placement.placing import make_read_request
 from .channel import EndpointChannel
 
 _MS = 1000.0
@@ -68,7 +68,7 @@
     def __init__(
         self,
         context: ForwardingContext,
-        call: AttemptCall,
+        call: AdmittedRequest,
         placement: Placement,
         *,
         may_move: bool,
@@ -141,7 +141,7 @@
         if self.has_event or service.engine is None:
             return True
         allowance = self.context.allowance(service.service)
-        return allowance.has_capacity(self._now(), self.context.entries)
+        return allowance.has_capacity(self._now(), self.context.entry_count)
 
     def _is_sooner_elsewhere(self) -> bool:
         """Return whether another endpoint would answer sooner.
@@ -165,7 +165,7 @@
 
     def _has_waited_long(self) -> bool:
         """Return whether a long prompt moves for any cause of its delay."""
-        primary = self.placement.home.endpoint
+        primary = self.placement.primary.endpoint
         if self.context.dispatcher.failures.has_repeated_failures(primary):
             return True
         timeout = self.call.route.time_limit * _LONG_TIMEOUT_SHARE
@@ -175,7 +175,7 @@
         return is_overdue(
             self.call.request_id,
             self.placement.plan.members,
-            self.context.dispatcher.book,
+            self.context.dispatcher.loads,
             costs,
             self._now(),
         )
@@ -185,15 +185,15 @@
         other = self.context.dispatcher.place_model(
             self.call.service,
             costs,
-            read_request(self.call, self._now()),
-            {self.placement.home.endpoint},
+            make_read_request(self.call, self._now()),
+            {self.placement.primary.endpoint},
         )
         return math.inf if other is None else other.plan.expected_ms
 
     @property
     def _alive_at(self) -> float:
         """Return when the endpoint last sent this entry an event."""
-        primary = self.placement.home.endpoint
+        primary = self.placement.primary.endpoint
         failures = self.context.dispatcher.failures
         return failures.last_activity_at.get(primary, 0)
 
@@ -211,7 +211,7 @@
 
     def _timeout_seconds(self) -> float:
         """Return the longest permitted silence, in seconds."""
-        left = max(0, self.call.limit - self._now())
+        left = max(0, self.call.deadline - self._now())
         if not self.may_move:
             return left + 1
         if not self.call.route.kind.is_stream:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/errors.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/errors.py
@@ -12,7 +12,7 @@
     """A caller's header cannot be read."""
 
 
-class CallerLeftError(ForwardingError):
+class CallerDisconnectedError(ForwardingError):
     """The caller has closed its connection."""
 
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
@@ -41,7 +41,7 @@
 
 from ..context import ForwardingContext
 from ..crashes import CrashWatch
-from ..trials import FleetGrants, OwnGrants
+from ..trials import FleetTrialGrants, LocalTrialGrants
 from .newer_settings import NewerSettings
 from .update_schedule import UpdateSchedule
 from .update_sender import UpdateSender
@@ -73,7 +73,7 @@
         self.node = node
         self.context = context
         self.clock: Clock = context.clock
-        self.registry: LoadRegistry = context.dispatcher.book
+        self.registry: LoadRegistry = context.dispatcher.loads
         self.keeper = context.keeper
         self.membership = Membership(
             node.address.advertise,
@@ -83,13 +83,13 @@
         self.sender = UpdateSender(node, self.membership, self.writer)
         self.newer_settings = NewerSettings(context.keeper)
         self.crashes = CrashWatch(context)
-        self.trials = FleetGrants(
-            OwnGrants(context.quarantine, context.clock),
+        self.trials = FleetTrialGrants(
+            LocalTrialGrants(context.quarantine, context.clock),
             node,
             self.membership,
         )
         self.schedule = UpdateSchedule(
-            context.dispatcher.has_sent,
+            context.dispatcher.has_unsent_load,
             self.membership,
             context.clock,
         )
@@ -98,8 +98,8 @@
             CellSummary: self._handle_summary,
             SettingsWanted: self.newer_settings.answer,
             SettingsBody: self.newer_settings.apply,
-            TrialWanted: self.trials.answer,
-            TrialAnswer: self.trials.take,
+            TrialWanted: self.trials.handle_trial_request,
+            TrialAnswer: self.trials.handle_trial_answer,
         }
         self.log = Log('mesh')
         self._incarnations: dict[str, Incarnation] = {}
@@ -150,7 +150,7 @@
         while True:
             await self.schedule.wait()
             now = self.clock.monotonic()
-            self.trials.runs(now)
+            self.trials.record_running(now)
             changed = self.registry.pop_changed()
             if now >= self._next_full_at or self._has_changed():
                 self._next_full_at = now + FULL_UPDATE_SECONDS
@@ -192,7 +192,7 @@
     def _handle_update(self, peer: Peer, update: LoadUpdate) -> None:
         now = self.clock.monotonic()
         self._record_peer(peer, update, now)
-        self.crashes.hear(update.crashes, update.entry)
+        self.crashes.handle_reports(update.crashes, update.entry)
         self._apply_limits(PeerId(update.entry), update.limits, now)
         self._introduce_to_new_peer(peer, update, now)
         self.registry.apply_update(
@@ -234,7 +234,7 @@
     def _handle_summary(self, peer: Peer, summary: CellSummary) -> None:
         now = self.clock.monotonic()
         self._record_peer(peer, summary, now)
-        self.crashes.hear(summary.crashes, summary.entry)
+        self.crashes.handle_reports(summary.crashes, summary.entry)
         self._apply_limits(PeerId(summary.zone), summary.limits, now)
         self.membership.vouch(summary.zone, summary.members, now)
         if not self.membership.is_near(summary.zone):
@@ -257,8 +257,8 @@
         name = PeerId(message.entry)
         if self.membership.hear(peer.address, message.zone, name, now):
             self.log.info('peer_found', peer=name, address=peer.address)
-            self.trials.met(now)
-        self.context.peer_heard_at = now
+            self.trials.record_peer_joined(now)
+        self.context.last_peer_message_at = now
         self.keeper.leaving.apply_peer_report(message.leaving, message.entry)
         self.newer_settings.compare(peer, message.settings_version)
 
@@ -300,7 +300,7 @@
                 address=lost.address,
                 zone=lost.zone,
             )
-        self.context.entries = self.membership.expected
+        self.context.entry_count = self.membership.expected
         limits = self.context.dispatcher.limits
         limits.reporting_fraction = self.membership.heard_part
         limits.entry_count = len(self.membership.near()) + 1
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
@@ -22,7 +22,7 @@
     ) -> None:
         self.context = context
         self.membership = membership
-        self.registry: LoadRegistry = context.dispatcher.book
+        self.registry: LoadRegistry = context.dispatcher.loads
         self.limits: RateLimits = context.dispatcher.limits
 
     def changes(
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/candidates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/candidates.py
@@ -56,7 +56,7 @@
             ]
         return {record.endpoint: record for record in records}
 
-    def still_takes(self, record: EndpointRecord, now: float) -> bool:
+    def still_accepts(self, record: EndpointRecord, now: float) -> bool:
         """Return whether a chosen endpoint may still be sent a request.
 
         The endpoint may have started to leave, or requested a backoff, while a
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
@@ -52,7 +52,7 @@
     """
 
     plan: ReadPlan
-    home: EndpointRecord
+    primary: EndpointRecord
     helpers: tuple[EndpointRecord, ...] = ()
 
 
@@ -88,13 +88,13 @@
         self.entry = entry
         self.keeper = keeper
         self.clock = clock
-        self.book = LoadRegistry()
+        self.loads = LoadRegistry()
         self.cells = CellView(zone=zone)
         self.failures = FailureTracker()
         self.limits = RateLimits(entry)
-        self.rests = RequestedBackoffs()
-        self.candidates = Candidates(keeper, self.limits, self.rests)
-        self.has_sent = asyncio.Event()
+        self.backoffs = RequestedBackoffs()
+        self.candidates = Candidates(keeper, self.limits, self.backoffs)
+        self.has_unsent_load = asyncio.Event()
         self._tie_breakers: dict[EndpointId, float] = {}
 
     def place_model(
@@ -113,7 +113,7 @@
             request,
             [self._known_engine(record, now) for record in records.values()],
             self.cells,
-            self.book,
+            self.loads,
             costs,
             now,
         )
@@ -121,7 +121,7 @@
             return None
         return Placement(
             plan=plan,
-            home=records[plan.primary],
+            primary=records[plan.primary],
             helpers=tuple(records[name] for name in plan.helpers),
         )
 
@@ -139,7 +139,7 @@
         )
         if chosen is None:
             return None
-        return Placement(plan=ReadPlan(primary=chosen.endpoint), home=chosen)
+        return Placement(plan=ReadPlan(primary=chosen.endpoint), primary=chosen)
 
     def begin(
         self,
@@ -147,51 +147,51 @@
         assignments: dict[EndpointId, Assignment],
     ) -> None:
         """Record that a request was sent."""
-        self.book.begin(request_id, assignments, self.clock.monotonic())
-        self.has_sent.set()
+        self.loads.begin(request_id, assignments, self.clock.monotonic())
+        self.has_unsent_load.set()
 
     def first_event(self, request_id: RequestId, placed: Placement) -> None:
         """Record that the prompt of a request has been read."""
-        self.book.record_first_token(request_id, placed.plan.members)
+        self.loads.record_first_token(request_id, placed.plan.members)
 
     def end(self, request_id: RequestId, placed: Placement) -> None:
         """Record that an attempt has ended."""
-        self.book.end(request_id, placed.plan.members)
+        self.loads.end(request_id, placed.plan.members)
 
-    def request_sent(self, placed: Placement) -> None:
+    def record_request(self, placed: Placement) -> None:
         """Count a request towards rate limits and requested backoffs."""
         now = self.clock.monotonic()
-        for record in (placed.home, *placed.helpers):
+        for record in (placed.primary, *placed.helpers):
             self.limits.sent(record.lifetime, now)
-            self.rests.record_send(record.lifetime, now)
+            self.backoffs.record_send(record.lifetime, now)
 
-    def order_sent(self, record: EndpointRecord) -> None:
+    def record_order(self, record: EndpointRecord) -> None:
         """Count an order towards the rate limit; it arrives like a request."""
         self.limits.sent(record.lifetime, self.clock.monotonic())
 
-    def sent_something(self, endpoint: EndpointId) -> None:
+    def record_activity(self, endpoint: EndpointId) -> None:
         """Record that an endpoint sent something, so it is alive."""
         self.failures.record_activity(endpoint, self.clock.monotonic())
 
     def record_arrival(self, costs: EngineCosts, prompt_tokens: int) -> None:
         """Record the arrival of a request, if its prompt is short."""
         if is_short_request(costs, prompt_tokens):
-            self.book.short_requests.record_arrival(self.clock.monotonic())
+            self.loads.short_requests.record_arrival(self.clock.monotonic())
 
-    def turn_ended(self, seconds: float) -> None:
+    def record_short_request(self, seconds: float) -> None:
         """Record the residence time of a short request, in seconds."""
-        self.book.short_requests.record_end(seconds)
+        self.loads.short_requests.record_end(seconds)
 
-    def failed(self, endpoint: EndpointId) -> None:
+    def record_failure(self, endpoint: EndpointId) -> None:
         """Record that an attempt at an endpoint failed."""
         self.failures.record_failure(endpoint, self.clock.monotonic())
         # The next load update reports the failure to the peers.
-        self.book.changed.add(endpoint)
+        self.loads.changed.add(endpoint)
 
-    def tell_at_once(self, endpoint: EndpointId) -> None:
+    def send_update_now(self, endpoint: EndpointId) -> None:
         """Send the peers an update on an endpoint without delay."""
-        self.book.changed.add(endpoint)
-        self.has_sent.set()
+        self.loads.changed.add(endpoint)
+        self.has_unsent_load.set()
 
     def endpoint_at(self, address: str) -> EndpointId | None:
         """Return the endpoint at an address; None if none is registered."""
@@ -211,7 +211,7 @@
         )
 
     def _call_count(self, endpoint: EndpointId, now: float) -> float:
-        calls = self.book.load(endpoint, now).requests + self._tie_breaker(
+        calls = self.loads.load(endpoint, now).requests + self._tie_breaker(
             endpoint
         )
         has_failed = self.failures.is_backing_off(endpoint, now)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
@@ -15,7 +15,7 @@
 from sycamore_core.ids import EndpointId
 
 from ..callers.refusals import Refusal, RefusalCause
-from ..calls import AttemptCall
+from ..calls import AdmittedRequest
 from ..context import ForwardingContext
 from .candidates import Wait
 from .dispatcher import Placement
@@ -45,7 +45,7 @@
     def __init__(
         self,
         context: ForwardingContext,
-        call: AttemptCall,
+        call: AdmittedRequest,
     ) -> None:
         self.context = context
         self.call = call
@@ -122,7 +122,7 @@
         service = self.call.service
         if service.engine is None:
             return dispatcher.place_plain(service, excluded)
-        request = read_request(self.call, self._now())
+        request = make_read_request(self.call, self._now())
         return dispatcher.place_model(
             service,
             service.engine,
@@ -144,7 +144,7 @@
         if costs is None or excluded:
             return
         now = self._now()
-        request = read_request(self.call, now)
+        request = make_read_request(self.call, now)
         plan = placement.plan
         read_ms = costs.read_ms(request.prompt_tokens)
         if is_worth_reading(plan, request, read_ms):
@@ -171,7 +171,7 @@
         """
         refusal = self._build_refusal(excluded)
         wait_end = began + self.call.route.objective * _SLOT_WAIT_FRACTION
-        is_expired = self._now() >= min(wait_end, self.call.limit)
+        is_expired = self._now() >= min(wait_end, self.call.deadline)
         if is_expired or refusal.cause != RefusalCause.OVERLOADED:
             raise refusal
         await asyncio.sleep(_POLL_SECONDS)
@@ -214,7 +214,7 @@
                 f'all endpoints are at their limit for {wait.seconds:.2f} s',
                 retry_after=after_limit(wait.seconds, caller),
             )
-        turns = self.context.dispatcher.book.short_requests
+        turns = self.context.dispatcher.loads.short_requests
         return Refusal(
             RefusalCause.OVERLOADED,
             f'no free slot at {len(self._usable_endpoints())} endpoints',
@@ -230,7 +230,7 @@
         return self.context.clock.monotonic()
 
 
-def read_request(call: AttemptCall, now: float) -> ReadRequest:
+def make_read_request(call: AdmittedRequest, now: float) -> ReadRequest:
     """Return the parameters of a request that decide its placement."""
     terms = call.terms
     return ReadRequest(
@@ -238,5 +238,5 @@
         answer_tokens=terms.answer_tokens,
         objective_ms=(call.objective_at - now) * _MS,
         pause_ms=call.route.pause_objective * _MS,
-        limit_ms=max(1, (call.limit - now) * _MS),
+        limit_ms=max(1, (call.deadline - now) * _MS),
     )
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders.py
@@ -45,9 +45,9 @@
 from ..settings import ForwardingSettings
 from ..wire import (
     AnswerHead,
-    AskedRest,
+    RequestedBackoff,
     CallTerms,
-    NamedLimit,
+    AnnouncedLimit,
     Order,
     OutgoingTerms,
     WireFormat,
@@ -68,7 +68,7 @@
     pass_steps=51,
 )
 
-Talk = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class SimpleWire(WireFormat):
@@ -133,12 +133,12 @@
         return Order('/order', b'release')
 
 
-def requested_backoff(text: str) -> AskedRest:
-    return AskedRest(float(text)) if text else AskedRest()
+def requested_backoff(text: str) -> RequestedBackoff:
+    return RequestedBackoff(float(text)) if text else RequestedBackoff()
 
 
-def announced_limit(text: str) -> NamedLimit:
-    return NamedLimit(float(text)) if text else NamedLimit()
+def announced_limit(text: str) -> AnnouncedLimit:
+    return AnnouncedLimit(float(text)) if text else AnnouncedLimit()
 
 
 class FixedFeed(FleetFeed):
@@ -175,7 +175,7 @@
         Number of connections that the other side closed.
     """
 
-    def __init__(self, name: str, talk: Talk) -> None:
+    def __init__(self, name: str, talk: Script) -> None:
         self.name = name
         self.talk = talk
         self.requests: list[dict[str, str]] = []
@@ -234,7 +234,7 @@
     return found
 
 
-def whole(body: str = 'done', status: int = 200, extra: str = '') -> bytes:
+def full_answer(body: str = 'done', status: int = 200, extra: str = '') -> bytes:
     """Return a complete signed answer."""
     return (
         f'HTTP/1.1 {status} Answer\r\nSigned: yes\r\n{extra}'
@@ -263,7 +263,7 @@
 PAUSE_SECONDS = 0.05
 
 
-def saying(*parts: bytes, close: bool = False) -> Talk:
+def reply_with(*parts: bytes, close: bool = False) -> Script:
     """Return a script that answers each request with the same bytes."""
 
     async def talk(
@@ -283,7 +283,7 @@
     return talk
 
 
-async def say_nothing(
+async def never_reply(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
@@ -403,7 +403,7 @@
 
 
 @contextlib.asynccontextmanager
-async def entry_before(
+async def running_entry(
     served: Route,
     *endpoints: RawEndpoint,
 ) -> AsyncIterator[TestEntry]:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_answers.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
-from .builders import Talk, parse_headers
+from .builders import Script, parse_headers
 
 
-def reply_in_sequence(*answers: bytes) -> Talk:
+def reply_in_sequence(*answers: bytes) -> Script:
     """Return a script that answers each request with the next answer."""
     remaining = iter(answers)
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_crash.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_crash.py
@@ -19,7 +19,7 @@
 from ..content import RequestContent
 from ..context import ForwardingContext
 from ..process import ForwardingProcess
-from .builders import HOST, RawEndpoint, TestEntry, whole
+from .builders import HOST, RawEndpoint, TestEntry, full_answer
 
 #: Body that crashes an endpoint, and a harmless one.
 POISON = b'crash'
@@ -48,7 +48,7 @@
         if self.requests[-1]['body'] == POISON.decode():
             self.crash()
             raise ConnectionError
-        writer.write(whole())
+        writer.write(full_answer())
 
     def crash(self) -> None:
         """Refuse new connections from now on."""
@@ -76,7 +76,7 @@
 
 
 @contextlib.asynccontextmanager
-async def asked_at(process: ForwardingProcess) -> AsyncIterator[TestEntry]:
+async def callers_of(process: ForwardingProcess) -> AsyncIterator[TestEntry]:
     """Serve callers at one entry of a fleet."""
     caller = TestEntry(process.context)
     caller.server.listen(0, HOST)
@@ -93,7 +93,7 @@
     """Serve callers at all entries of a fleet."""
     async with contextlib.AsyncExitStack() as stack:
         yield [
-            await stack.enter_async_context(asked_at(process))
+            await stack.enter_async_context(callers_of(process))
             for process in processes
         ]
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_engines.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_engines.py
@@ -8,13 +8,13 @@
     LAST_CHUNK,
     MODEL,
     RawEndpoint,
-    Talk,
+    Script,
     chunk,
     event,
     route,
-    saying,
+    reply_with,
     stream_head,
-    whole,
+    full_answer,
 )
 
 #: By their published costs, four engines need 6.5 s to read the prompt. A
@@ -22,13 +22,13 @@
 STREAM = route(RouteKind.RESUMABLE_STREAM, MODEL, time_limit=12)
 #: Prompt length that exceeds the memory of one engine but fits on three.
 HUGE = '500000'
-ANSWER = saying(stream_head(), chunk(event(0)), LAST_CHUNK)
+ANSWER = reply_with(stream_head(), chunk(event(0)), LAST_CHUNK)
 
 
 class Engine(RawEndpoint):
     """An engine with one script for orders and one for requests."""
 
-    def __init__(self, name: str, answer: Talk, order: Talk) -> None:
+    def __init__(self, name: str, answer: Script, order: Script) -> None:
         super().__init__(name, self.serve)
         self.answer = answer
         self.order = order
@@ -52,6 +52,6 @@
     return request['line'].startswith('POST /order')
 
 
-def engines(answer: Talk, order: Talk | None = None) -> list[Engine]:
-    accepted = order or saying(whole('{}'))
+def engines(answer: Script, order: Script | None = None) -> list[Engine]:
+    accepted = order or reply_with(full_answer('{}'))
     return [Engine(f'e{one}', answer, accepted) for one in range(4)]
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_mesh.py
@@ -17,16 +17,16 @@
 KEYS = PeerKeys({KeyId('k'): b'0123456789abcdef'}, KeyId('k'))
 
 
-class MovingFeed(FixedFeed):
+class QueueFeed(FixedFeed):
     """A platform that returns changes from a queue, or is unreachable."""
 
     def __init__(self, snapshot: FleetSnapshot = SNAPSHOT) -> None:
         super().__init__(snapshot)
-        self.is_away = False
-        self.news: asyncio.Queue[Change] = asyncio.Queue()
+        self.is_unreachable = False
+        self.queued_changes: asyncio.Queue[Change] = asyncio.Queue()
 
     async def snapshot(self) -> FleetSnapshot:
-        if self.is_away:
+        if self.is_unreachable:
             raise PlatformError('platform is unreachable')
         return self.fixed
 
@@ -35,16 +35,16 @@
         after: Revision,
         wait_seconds: float,
     ) -> ChangeBatch:
-        change = await self.news.get()
-        if self.is_away:
+        change = await self.queued_changes.get()
+        if self.is_unreachable:
             raise PlatformError('platform is unreachable')
         return ChangeBatch(Revision(after + 1), (change,))
 
 
-def news_of(process: ForwardingProcess) -> asyncio.Queue[Change]:
+def queued_changes_of(process: ForwardingProcess) -> asyncio.Queue[Change]:
     feed = process.context.keeper.feed
-    assert isinstance(feed, MovingFeed)
-    return feed.news
+    assert isinstance(feed, QueueFeed)
+    return feed.queued_changes
 
 
 def free_address() -> str:
@@ -80,7 +80,7 @@
         made.append(
             ForwardingProcess.from_settings(
                 lambda settings=settings: settings,
-                MovingFeed(snapshot),
+                QueueFeed(snapshot),
                 SimpleWire(),
                 KEYS,
             ),
@@ -106,4 +106,4 @@
 def _has_discovered(process: ForwardingProcess, entries: int) -> bool:
     """Return whether an entry knows and counts all entries."""
     member_count = process.mesh.membership.living
-    return min(member_count, process.context.entries) == entries
+    return min(member_count, process.context.entry_count) == entries
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_asked_rest.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_asked_rest.py
@@ -11,16 +11,16 @@
     MODEL,
     SERVICE,
     RawEndpoint,
-    Talk,
+    Script,
     TestEntry,
-    entry_before,
+    running_entry,
     route,
-    saying,
+    reply_with,
     snapshot_of,
-    whole,
+    full_answer,
 )
 from .builders_answers import is_answered, reply_in_sequence, retry_after
-from .builders_crash import asked_at
+from .builders_crash import callers_of
 from .builders_engines import ANSWER, HUGE, STREAM, engines
 from .builders_mesh import entries, running
 
@@ -33,26 +33,26 @@
 
 def refusal(seconds: float) -> bytes:
     """Return a refusal that requests a backoff."""
-    return whole('', 503, f'Not-Run: 1\r\nRest: {seconds}\r\n')
+    return full_answer('', 503, f'Not-Run: 1\r\nRest: {seconds}\r\n')
 
 
-def refuse_all(seconds: float) -> Talk:
+def refuse_all(seconds: float) -> Script:
     """Return a script that refuses each request with a backoff."""
-    return saying(refusal(seconds))
+    return reply_with(refusal(seconds))
 
 
 def backing_off(name: str = 'e1', seconds: float = LONG_BACKOFF) -> RawEndpoint:
     return RawEndpoint(name, refuse_all(seconds))
 
 
-def healthy(name: str = 'e2', talk: Talk | None = None) -> RawEndpoint:
-    return RawEndpoint(name, talk or saying(whole()))
+def healthy(name: str = 'e2', talk: Script | None = None) -> RawEndpoint:
+    return RawEndpoint(name, talk or reply_with(full_answer()))
 
 
 async def test_no_requests_are_sent_during_requested_backoff() -> None:
     """Guards against more load on a full endpoint because it looks idle."""
     full = backing_off()
-    async with entry_before(SAFE, full, healthy()) as entry:
+    async with running_entry(SAFE, full, healthy()) as entry:
         for number in range(REQUEST_COUNT):
             assert is_answered(await entry.ask(Id=f'q{number}'))
     assert len(full.requests) <= 1
@@ -61,7 +61,7 @@
 async def test_no_streams_are_sent_to_engine_during_requested_backoff() -> None:
     """Guards against repeated refusals of short requests."""
     full = backing_off()
-    async with entry_before(CHAT, full, healthy(talk=ANSWER)) as entry:
+    async with running_entry(CHAT, full, healthy(talk=ANSWER)) as entry:
         for number in range(REQUEST_COUNT):
             answer = await entry.ask(Id=f'q{number}', Prompt='5000')
             assert is_answered(answer)
@@ -71,7 +71,7 @@
 async def test_backoff_in_answer_to_order_is_applied() -> None:
     """Guards against losing a backoff from an answer to an order."""
     fleet = engines(ANSWER, refuse_all(LONG_BACKOFF))
-    async with entry_before(STREAM, *fleet) as entry:
+    async with running_entry(STREAM, *fleet) as entry:
         await entry.ask(Prompt=HUGE)
         ordered = [engine for engine in fleet if engine.orders]
         before = sum(reserve_orders(engine.orders) for engine in ordered)
@@ -88,7 +88,7 @@
 async def test_request_is_refused_if_all_endpoints_back_off() -> None:
     """Guards against attempts that are known to be refused."""
     fleet = (backing_off('e1', LONG_BACKOFF), backing_off('e2', 2))
-    async with entry_before(SAFE, *fleet) as entry:
+    async with running_entry(SAFE, *fleet) as entry:
         await entry.ask(Patience='60')
         answer = await entry.ask(Patience='60')
     assert [len(endpoint.requests) for endpoint in fleet] == [1, 1]
@@ -97,15 +97,15 @@
 
 async def test_retry_after_covers_backoff_of_refusing_endpoint() -> None:
     """Guards against callers that retry while all endpoints back off."""
-    async with entry_before(SAFE, backing_off(seconds=2)) as entry:
+    async with running_entry(SAFE, backing_off(seconds=2)) as entry:
         answer = await entry.ask(Patience='60')
     assert retry_after(answer) == pytest.approx(2, rel=0.4)
 
 
 async def test_endpoint_is_used_again_after_backoff() -> None:
     """Guards against an endpoint that is never used again after a refusal."""
-    talk = reply_in_sequence(refusal(SHORT_BACKOFF), whole(), whole())
-    async with entry_before(SAFE, RawEndpoint('e1', talk)) as entry:
+    talk = reply_in_sequence(refusal(SHORT_BACKOFF), full_answer(), full_answer())
+    async with running_entry(SAFE, RawEndpoint('e1', talk)) as entry:
         assert not is_answered(await entry.ask())
         assert not is_answered(await entry.ask())
         await asyncio.sleep(SHORT_BACKOFF)
@@ -116,7 +116,7 @@
 async def test_single_request_is_sent_first_after_backoff() -> None:
     """Guards against a burst of requests at the end of a backoff."""
     full = backing_off(seconds=SHORT_BACKOFF)
-    async with entry_before(SAFE, full) as entry:
+    async with running_entry(SAFE, full) as entry:
         await entry.ask()
         await asyncio.sleep(SHORT_BACKOFF)
         asked = [entry.ask(Id=f'q{number}') for number in range(REQUEST_COUNT)]
@@ -127,7 +127,7 @@
 async def test_backoff_applies_to_requests_that_wait_for_connection() -> None:
     """Guards against sending requests that were placed before a backoff."""
     full = backing_off()
-    async with entry_before(SAFE, full) as entry:
+    async with running_entry(SAFE, full) as entry:
         delay_connections(entry)
         asked = [entry.ask(Id=f'q{number}') for number in range(REQUEST_COUNT)]
         answers = await asyncio.gather(*asked)
@@ -156,7 +156,7 @@
     full = backing_off()
     listed = await snapshot_of(SAFE, (full,))
     async with running(entries(2, snapshot=listed)) as (first, second):
-        async with asked_at(first) as one, asked_at(second) as other:
+        async with callers_of(first) as one, callers_of(second) as other:
             await one.ask()
             await wait_for_update(first, second)
             await other.ask()
@@ -167,21 +167,21 @@
     first: ForwardingProcess, second: ForwardingProcess
 ) -> None:
     """Wait until the second entry has received an update of the first."""
-    received_at = second.context.peer_heard_at
-    first.context.dispatcher.tell_at_once(EndpointId('e1'))
-    while second.context.peer_heard_at == received_at:
+    received_at = second.context.last_peer_message_at
+    first.context.dispatcher.send_update_now(EndpointId('e1'))
+    while second.context.last_peer_message_at == received_at:
         await asyncio.sleep(0.01)
 
 
 async def test_failed_replica_is_used_again_if_others_back_off() -> None:
     """Guards against losing a request although a replica is available."""
-    talk = reply_in_sequence(whole('', 500), whole())
+    talk = reply_in_sequence(full_answer('', 500), full_answer())
     failing = RawEndpoint('e1', talk)
     full = backing_off('e2')
-    async with entry_before(SAFE, failing, full) as entry:
+    async with running_entry(SAFE, failing, full) as entry:
         dispatcher = entry.context.dispatcher
         now = entry.context.clock.monotonic()
-        dispatcher.rests.record_request(full.record(SERVICE).lifetime, LONG_BACKOFF, now)
+        dispatcher.backoffs.record_request(full.record(SERVICE).lifetime, LONG_BACKOFF, now)
         assert is_answered(await entry.ask())
     assert len(failing.requests) == 2
     assert not full.requests
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_bad_input.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_bad_input.py
@@ -10,11 +10,11 @@
     KEY,
     RawEndpoint,
     TestEntry,
-    entry_before,
+    running_entry,
     request_bytes,
     route,
-    saying,
-    whole,
+    reply_with,
+    full_answer,
 )
 
 _HEAD = (
@@ -64,8 +64,8 @@
     If the entry and an endpoint disagreed on where a request ends, the rest
     of its body would run as a request of another caller.
     """
-    endpoint = RawEndpoint('e1', saying(whole()))
-    async with entry_before(route(RouteKind.SAFE), endpoint) as entry:
+    endpoint = RawEndpoint('e1', reply_with(full_answer()))
+    async with running_entry(route(RouteKind.SAFE), endpoint) as entry:
         answer = await send(entry, (_HEAD + rest).encode())
         assert answer == b'' or answer.startswith(b'HTTP/1.1 4')
         assert not endpoint.requests
@@ -73,10 +73,10 @@
 
 async def test_requests_sent_together_are_answered_in_order() -> None:
     """Guards against lost or reordered answers to pipelined requests."""
-    endpoint = RawEndpoint('e1', saying(whole()))
+    endpoint = RawEndpoint('e1', reply_with(full_answer()))
     first = request_bytes(Id='q1', Connection='keep-alive', body=b'one')
     second = request_bytes(Id='q2', body=b'two')
-    async with entry_before(route(RouteKind.SAFE), endpoint) as entry:
+    async with running_entry(route(RouteKind.SAFE), endpoint) as entry:
         answer = await send(entry, first + second)
     assert answer.count(b'HTTP/1.1 200') == 2
     assert [one['id'] for one in endpoint.requests] == ['q1', 'q2']
@@ -84,9 +84,9 @@
 
 async def test_bytes_after_body_are_not_part_of_it() -> None:
     """Guards against trailing bytes that are added to a body or run."""
-    endpoint = RawEndpoint('e1', saying(whole()))
+    endpoint = RawEndpoint('e1', reply_with(full_answer()))
     asked = request_bytes(Id='q1', Connection='keep-alive', body=b'one')
-    async with entry_before(route(RouteKind.SAFE), endpoint) as entry:
+    async with running_entry(route(RouteKind.SAFE), endpoint) as entry:
         await send(entry, b''.join((asked, b'two\r\n\r\n')))
     assert len(endpoint.requests) == 1
     assert endpoint.requests[0]['body'] == 'one'
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_cells.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_cells.py
@@ -12,7 +12,7 @@
 from ..fleet.feed import FleetSnapshot, Revision, TableChanged
 from ..process import ForwardingProcess
 from .builders import COSTS, HOST, MODEL, route, table_of
-from .builders_mesh import entries, news_of, running
+from .builders_mesh import entries, queued_changes_of, running
 
 SHORT_REQUEST = ReadRequest(
     prompt_tokens=5000,
@@ -65,7 +65,7 @@
 
 def known_requests(process: ForwardingProcess, endpoint: str) -> int:
     """Return the number of requests that an entry counts at an engine."""
-    book = process.context.dispatcher.book
+    book = process.context.dispatcher.loads
     now = process.context.clock.monotonic()
     return book.load(EndpointId(endpoint), now).requests
 
@@ -89,7 +89,7 @@
     """
     async with running(two_cells()) as processes:
         for process in processes:
-            assert process.context.entries == 4
+            assert process.context.entry_count == 4
             assert process.context.dispatcher.cells.zones == {'a', 'b'}
 
 
@@ -98,7 +98,7 @@
         send_requests(first, 'e-a', 3)
         await wait_until_known(third, 'e-a', 3)
         await wait_until_known(second, 'e-a', 3)
-        peer_loads = second.context.dispatcher.book.peer_loads
+        peer_loads = second.context.dispatcher.loads.peer_loads
         assert EndpointId('e-a') not in peer_loads
 
 
@@ -122,7 +122,7 @@
     async with running(two_cells()) as (first, second, *_):
         send_requests(first, 'e-b', 2)
         send_requests(second, 'e-b', 1)
-        book = first.context.dispatcher.book
+        book = first.context.dispatcher.loads
         async with asyncio.timeout(5):
             while EndpointId('e-b') not in book.cell_loads:
                 await asyncio.sleep(0.01)
@@ -137,10 +137,10 @@
         table = first.context.keeper.table
         service = table.services[MODEL]
         near = dispatcher.place_model(service, COSTS, SHORT_REQUEST, ())
-        assert near.home.endpoint == 'e-a'
+        assert near.primary.endpoint == 'e-a'
         send_requests(first, 'e-a', COSTS.slots)
         far = dispatcher.place_model(service, COSTS, SHORT_REQUEST, ())
-        assert far.home.endpoint == 'e-b'
+        assert far.primary.endpoint == 'e-b'
 
 
 async def test_cell_continues_to_report_when_one_of_its_entries_dies() -> None:
@@ -167,7 +167,7 @@
         newer = table_of(route(RouteKind.SAFE))
         newer.version += 6
         change = TableChanged(PublishedTable(newer, b'9'))
-        news_of(processes[0]).put_nowait(change)
+        queued_changes_of(processes[0]).put_nowait(change)
         async with asyncio.timeout(8):
             while any(one.context.keeper.version < 9 for one in processes):
                 await asyncio.sleep(0.02)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_crashing_requests.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_crashing_requests.py
@@ -9,12 +9,12 @@
 from .builders import (
     PAUSE_SECONDS,
     RawEndpoint,
-    entry_before,
+    running_entry,
     route,
-    say_nothing,
-    saying,
+    never_reply,
+    reply_with,
     snapshot_of,
-    whole,
+    full_answer,
 )
 from .builders_answers import is_answered, retry_after
 from .builders_crash import (
@@ -22,7 +22,7 @@
     POISON,
     add_common_crash,
     add_suspect,
-    asked_at,
+    callers_of,
     callers_of_all,
     crash_endpoints_with_requests,
     crashed_count,
@@ -46,7 +46,7 @@
 async def test_crashing_request_is_quarantined() -> None:
     """Guards against one request that crashes endpoint after endpoint."""
     endpoints = crashing_endpoints(2 * ATTEMPTS)
-    async with entry_before(SAFE, *endpoints) as entry:
+    async with running_entry(SAFE, *endpoints) as entry:
         for number in range(ATTEMPTS):
             answer = await entry.ask(Id=f'q{number}', body=POISON)
         other = await entry.ask(body=b'other')
@@ -62,7 +62,7 @@
     listed = await snapshot_of(SAFE, endpoints)
     async with running(entries(2, snapshot=listed)) as made:
         for number in range(ATTEMPTS):
-            async with asked_at(made[number % 2]) as caller:
+            async with callers_of(made[number % 2]) as caller:
                 await caller.ask(Id=f'q{number}', body=POISON)
             # The report of a crash takes some milliseconds to arrive.
             await wait_for_same_crashes(made)
@@ -75,7 +75,7 @@
     listed = await snapshot_of(UNSAFE, endpoints)
     async with running(entries(2, snapshot=listed)) as (first, second):
         for process in (first, second):
-            async with asked_at(process) as caller:
+            async with callers_of(process) as caller:
                 answer = await caller.ask(body=POISON)
                 assert answer.startswith(b'HTTP/1.1 502')
         async with asyncio.timeout(5):
@@ -89,7 +89,7 @@
 async def test_unrelated_request_is_answered_after_crashes() -> None:
     """Guards against quarantine of a request for unrelated crashes."""
     endpoints = crashing_endpoints(3)
-    async with entry_before(SAFE, *endpoints) as entry:
+    async with running_entry(SAFE, *endpoints) as entry:
         for endpoint in endpoints[:2]:
             endpoint.crash()
         for _ in range(ATTEMPTS):
@@ -107,13 +107,13 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         if arrived.is_set():
-            writer.write(whole())
+            writer.write(full_answer())
             return
         arrived.set()
         await reader.read(1)
 
     endpoints = [RawEndpoint(f'e{one}', ignore_first_request) for one in '12']
-    async with entry_before(SAFE, *endpoints) as entry:
+    async with running_entry(SAFE, *endpoints) as entry:
         asking = asyncio.create_task(entry.ask(body=b'other'))
         await arrived.wait()
         crash_endpoints_with_requests(endpoints)
@@ -124,8 +124,8 @@
 
 async def test_broken_connection_does_not_count_as_crash() -> None:
     """Guards against quarantine of requests if only connections break."""
-    endpoints = [RawEndpoint(f'e{one}', saying(close=True)) for one in '123']
-    async with entry_before(SAFE, *endpoints) as entry:
+    endpoints = [RawEndpoint(f'e{one}', reply_with(close=True)) for one in '123']
+    async with running_entry(SAFE, *endpoints) as entry:
         for _ in range(ATTEMPTS):
             answer = await entry.ask()
             assert answer.startswith(b'HTTP/1.1 502')
@@ -170,9 +170,9 @@
 
 async def test_suspects_of_one_crash_are_placed_apart() -> None:
     """Guards against a harmless request that is present at each crash."""
-    first = RawEndpoint('e0', say_nothing)
-    others = [RawEndpoint(f'e{one}', saying(whole())) for one in '12']
-    async with entry_before(SAFE, first, *others) as entry:
+    first = RawEndpoint('e0', never_reply)
+    others = [RawEndpoint(f'e{one}', reply_with(full_answer())) for one in '12']
+    async with running_entry(SAFE, first, *others) as entry:
         add_common_crash(entry.context, POISON, ORDINARY)
         for other in others:
             make_busy(entry.context, other)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_leaving_in_answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_leaving_in_answers.py
@@ -12,16 +12,16 @@
     MODEL,
     SERVICE,
     RawEndpoint,
-    Talk,
+    Script,
     chunk,
-    entry_before,
+    running_entry,
     event,
     route,
-    saying,
+    reply_with,
     snapshot_of,
-    whole,
+    full_answer,
 )
-from .builders_crash import asked_at
+from .builders_crash import callers_of
 from .builders_engines import ANSWER, HUGE, STREAM, engines
 from .builders_mesh import entries, running
 
@@ -31,12 +31,12 @@
 REQUESTS = 8
 ANSWERS = MappingProxyType(
     {
-        'success': saying(whole(extra=LEAVING)),
-        'failure': saying(whole('', 500, LEAVING)),
-        'refusal': saying(whole('', 503, f'Not-Run: 1\r\n{LEAVING}')),
+        'success': reply_with(full_answer(extra=LEAVING)),
+        'failure': reply_with(full_answer('', 500, LEAVING)),
+        'refusal': reply_with(full_answer('', 503, f'Not-Run: 1\r\n{LEAVING}')),
     }
 )
-LEAVING_STREAM = saying(
+LEAVING_STREAM = reply_with(
     b'HTTP/1.1 200 OK\r\nSigned: yes\r\nLeaving: 1\r\n'
     b'Transfer-Encoding: chunked\r\n\r\n',
     chunk(event(0)),
@@ -44,8 +44,8 @@
 )
 
 
-def plain(name: str, talk: Talk | None = None) -> RawEndpoint:
-    return RawEndpoint(name, talk or saying(whole()))
+def plain(name: str, talk: Script | None = None) -> RawEndpoint:
+    return RawEndpoint(name, talk or reply_with(full_answer()))
 
 
 @pytest.mark.parametrize('kind', ANSWERS)
@@ -54,7 +54,7 @@
 ) -> None:
     """Guards against requests that are lost when their endpoint exits."""
     leaving_endpoint = plain('e1', ANSWERS[kind])
-    async with entry_before(SAFE, leaving_endpoint, plain('e2')) as entry:
+    async with running_entry(SAFE, leaving_endpoint, plain('e2')) as entry:
         for number in range(REQUESTS):
             answer = await entry.ask(Id=f'q{number}')
             assert answer.startswith(b'HTTP/1.1 200')
@@ -64,7 +64,7 @@
 async def test_engine_that_reports_leaving_gets_no_more_streams() -> None:
     """Guards against streams that break when their engine exits."""
     leaving_endpoint = plain('e1', LEAVING_STREAM)
-    async with entry_before(
+    async with running_entry(
         CHAT,
         leaving_endpoint,
         plain('e2', ANSWER),
@@ -79,8 +79,8 @@
 
     Of such an answer, the caller of the order reads only the status.
     """
-    fleet = engines(ANSWER, saying(whole('{}', extra=LEAVING)))
-    async with entry_before(STREAM, *fleet) as entry:
+    fleet = engines(ANSWER, reply_with(full_answer('{}', extra=LEAVING)))
+    async with running_entry(STREAM, *fleet) as entry:
         await entry.ask(Prompt=HUGE)
         usable = entry.context.keeper.directory.usable(MODEL)
     ordered = {engine.name for engine in fleet if engine.orders}
@@ -91,7 +91,7 @@
 async def test_callers_are_refused_at_once_if_all_endpoints_leave() -> None:
     """Guards against requests to leaving endpoints if there are no others."""
     leaving_endpoint = plain('e1', ANSWERS['success'])
-    async with entry_before(SAFE, leaving_endpoint) as entry:
+    async with running_entry(SAFE, leaving_endpoint) as entry:
         await entry.ask()
         answer = await entry.ask()
     assert len(leaving_endpoint.requests) == 1
@@ -104,7 +104,7 @@
     leaving_endpoint = plain('e1', ANSWERS['success'])
     snapshot = await snapshot_of(SAFE, (leaving_endpoint,))
     async with running(entries(2, snapshot=snapshot)) as (first, second):
-        async with asked_at(first) as caller:
+        async with callers_of(first) as caller:
             await caller.ask()
         directory = second.context.keeper.directory
         async with asyncio.timeout(5):
@@ -139,8 +139,8 @@
 
 async def test_answer_of_another_instance_does_not_mark_the_endpoint() -> None:
     """Guards against reports of another process at the same address."""
-    endpoint = plain('e1', saying(whole('', 421, LEAVING)))
-    async with entry_before(SAFE, endpoint) as entry:
+    endpoint = plain('e1', reply_with(full_answer('', 421, LEAVING)))
+    async with running_entry(SAFE, endpoint) as entry:
         await entry.ask()
         usable = entry.context.keeper.directory.usable(SERVICE)
     assert len(usable) == 1
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
@@ -11,7 +11,7 @@
 from ..fleet.feed import EndpointChanged, TableChanged
 from ..mesh import entry_mesh
 from .builders import ENDPOINT, route, table_of
-from .builders_mesh import entries, news_of, running
+from .builders_mesh import entries, queued_changes_of, running
 
 
 async def test_configuration_reaches_an_entry_that_is_refused() -> None:
@@ -26,7 +26,7 @@
         newer.version += 6
         published = PublishedTable(newer, b'9')
         change = TableChanged(published)
-        news_of(first).put_nowait(change)
+        queued_changes_of(first).put_nowait(change)
         async with asyncio.timeout(5):
             while second.context.keeper.version < 9:
                 await asyncio.sleep(0.02)
@@ -41,7 +41,7 @@
     async with running(entries(2)) as (first, second):
         second.context.keeper.feed.is_away = True
         leaving = msgspec.structs.replace(ENDPOINT, is_leaving=True)
-        news_of(first).put_nowait(EndpointChanged(leaving))
+        queued_changes_of(first).put_nowait(EndpointChanged(leaving))
         directory = second.context.keeper.directory
         async with asyncio.timeout(5):
             while directory.usable(ServiceId('booking')):
@@ -53,7 +53,7 @@
         assignment = Assignment(read_ms=5000)
         name = EndpointId('e1')
         first.context.dispatcher.begin(RequestId('r1'), {name: assignment})
-        book = second.context.dispatcher.book
+        book = second.context.dispatcher.loads
         now = second.context.clock.monotonic
         async with asyncio.timeout(5):
             while book.load(name, now()).requests < 1:
@@ -77,9 +77,9 @@
     await asyncio.sleep(0.1)
     assignments = {ENDPOINT.endpoint: Assignment(read_ms=5000)}
     first.context.dispatcher.begin(RequestId('r1'), assignments)
-    first.context.dispatcher.book.pop_changed()
+    first.context.dispatcher.loads.pop_changed()
     second.start_tasks()
-    book = second.context.dispatcher.book
+    book = second.context.dispatcher.loads
     now = second.context.clock.monotonic
     try:
         async with asyncio.timeout(5):
@@ -95,7 +95,7 @@
     One entry has lost a request there and reports it to its peers.
     """
     async with running(entries(2)) as (first, second):
-        first.context.dispatcher.failed(ENDPOINT.endpoint)
+        first.context.dispatcher.record_failure(ENDPOINT.endpoint)
         failures = second.context.dispatcher.failures
         now = second.context.clock.monotonic
         async with asyncio.timeout(5):
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_news.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_news.py
@@ -13,16 +13,16 @@
     MODEL,
     RawEndpoint,
     chunk,
-    entry_before,
+    running_entry,
     event,
     request_bytes,
     route,
-    saying,
+    reply_with,
     stream_head,
 )
 
 STREAM = route(RouteKind.RESUMABLE_STREAM, MODEL)
-ANSWER = saying(stream_head(), chunk(event(0)), LAST_CHUNK)
+ANSWER = reply_with(stream_head(), chunk(event(0)), LAST_CHUNK)
 PROMPT = bytes(10_000)
 #: Transfer time of the body, and delay of the report after it, in seconds.
 ARRIVAL_SECONDS = 0.1
@@ -44,14 +44,14 @@
     monkeypatch.setattr(placing, '_REPORT_WAIT_FRACTION', 10)
     monkeypatch.setattr(placing, '_MAX_REPORT_WAIT_SECONDS', 1)
     one, two = (RawEndpoint(name, ANSWER) for name in ('e1', 'e2'))
-    async with entry_before(STREAM, one, two) as entry:
+    async with running_entry(STREAM, one, two) as entry:
         reader, writer = await asyncio.open_connection(HOST, entry.port)
         sent = request_bytes(body=PROMPT, Prompt='40000')
         writer.write(sent[:-1])
         await asyncio.sleep(ARRIVAL_SECONDS)
         writer.write(sent[-1:])
         await asyncio.sleep(REPORT_DELAY_SECONDS)
-        book = entry.context.dispatcher.book
+        book = entry.context.dispatcher.loads
         share = EngineShare(EndpointId(full), FULL_LOAD)
         now = entry.context.clock.monotonic()
         book.apply_update(PeerId('p'), (share,), now, is_full=False)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
@@ -14,10 +14,10 @@
     RawEndpoint,
     TestEntry,
     chunk,
-    entry_before,
+    running_entry,
     event,
     route,
-    say_nothing,
+    never_reply,
     stream_head,
 )
 
@@ -66,7 +66,7 @@
 def end_long_prompt(entry: TestEntry, name: str) -> None:
     """Record the end of the long prompt at an engine."""
     request = RequestId(f'long at {name}')
-    entry.context.dispatcher.book.end(request, [EndpointId(name)])
+    entry.context.dispatcher.loads.end(request, [EndpointId(name)])
 
 
 async def test_short_request_stays_if_all_engines_are_busy() -> None:
@@ -77,7 +77,7 @@
     """
     one = RawEndpoint('e1', answer_after_short_delay)
     two = RawEndpoint('e2', answer_after_short_delay)
-    async with entry_before(STREAM, one, two) as entry:
+    async with running_entry(STREAM, one, two) as entry:
         start_long_prompt(entry, 'e1')
         start_long_prompt(entry, 'e2')
         answer = await entry.ask(Prompt='4000')
@@ -87,16 +87,16 @@
 
 async def test_short_request_moves_to_free_engine() -> None:
     """Guards against waiting at a hung engine while another one is idle."""
-    hanging = RawEndpoint('e1', say_nothing)
+    hanging = RawEndpoint('e1', never_reply)
     idle = RawEndpoint('e2', answer_at_once)
-    async with entry_before(STREAM, hanging, idle) as entry:
+    async with running_entry(STREAM, hanging, idle) as entry:
         start_long_prompt(entry, 'e2')
         asking = asyncio.create_task(entry.ask(Prompt='4000'))
         while not hanging.requests:
             await asyncio.sleep(0.01)
         name = EndpointId('e2')
         dispatcher = entry.context.dispatcher
-        dispatcher.book.end(RequestId('long at e2'), [name])
+        dispatcher.loads.end(RequestId('long at e2'), [name])
         answer = await asking
     assert answer.endswith(LAST_CHUNK)
     assert len(idle.requests) == 1
@@ -112,18 +112,18 @@
     requests. If the engine counted as faulty, the other engines would have to
     do its work as well.
     """
-    busy = RawEndpoint('e1', say_nothing)
+    busy = RawEndpoint('e1', never_reply)
     idle = RawEndpoint('e2', answer_at_once)
-    async with entry_before(STREAM, busy, idle) as entry:
+    async with running_entry(STREAM, busy, idle) as entry:
         start_long_prompt(entry, 'e2')
         dispatcher = entry.context.dispatcher
         asking = asyncio.create_task(entry.ask(Prompt='4000'))
         while not busy.requests:
             await asyncio.sleep(0.01)
         if is_alive:
-            dispatcher.sent_something(EndpointId('e1'))
+            dispatcher.record_activity(EndpointId('e1'))
         name = EndpointId('e2')
-        dispatcher.book.end(RequestId('long at e2'), [name])
+        dispatcher.loads.end(RequestId('long at e2'), [name])
         await asking
     assert (EndpointId('e1') in dispatcher.failures.streaks) is not is_alive
 
@@ -136,7 +136,7 @@
     """
     late = RawEndpoint('e1', answer_after_short_delay)
     idle = RawEndpoint('e2', answer_at_once)
-    async with entry_before(STREAM, late, idle) as entry:
+    async with running_entry(STREAM, late, idle) as entry:
         allowance = entry.context.allowance(MODEL)
         allowance.bounds = RetryBudgetLimit(ratio=0, slack=0)
         start_long_prompt(entry, 'e2')
@@ -144,7 +144,7 @@
         while not late.requests:
             await asyncio.sleep(0.01)
         name = EndpointId('e2')
-        entry.context.dispatcher.book.end(RequestId('long at e2'), [name])
+        entry.context.dispatcher.loads.end(RequestId('long at e2'), [name])
         answer = await asking
     assert answer.endswith(LAST_CHUNK)
     assert not idle.requests
@@ -169,9 +169,9 @@
     A prompt of 40,000 tokens that should take half a second would wait for
     nearly half of its caller's time, although another engine is free.
     """
-    silent = RawEndpoint('e1', say_nothing)
+    silent = RawEndpoint('e1', never_reply)
     idle = RawEndpoint('e2', answer_at_once)
-    async with entry_before(LONG_STREAM, silent, idle) as entry:
+    async with running_entry(LONG_STREAM, silent, idle) as entry:
         asking = await ask_while_e2_is_busy(entry, silent, MEDIUM_PROMPT)
         end_long_prompt(entry, 'e2')
         async with asyncio.timeout(15):
@@ -187,7 +187,7 @@
     """
     busy = RawEndpoint('e1', answer_after_long_delay)
     idle = RawEndpoint('e2', answer_at_once)
-    async with entry_before(LONG_STREAM, busy, idle) as entry:
+    async with running_entry(LONG_STREAM, busy, idle) as entry:
         asking = await ask_while_e2_is_busy(entry, busy, MEDIUM_PROMPT)
         part = Assignment(read_ms=9000, is_ahead=True, is_primary=False)
         dispatcher = entry.context.dispatcher
@@ -207,7 +207,7 @@
     """
     busy = RawEndpoint('e1', answer_after_long_delay)
     idle = RawEndpoint('e2', answer_at_once)
-    async with entry_before(LONG_STREAM, busy, idle) as entry:
+    async with running_entry(LONG_STREAM, busy, idle) as entry:
         asking = await ask_while_e2_is_busy(entry, busy, LONG_PROMPT)
         end_long_prompt(entry, 'e2')
         answer = await asking
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_rate_limits.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_rate_limits.py
@@ -6,14 +6,14 @@
     MODEL,
     SERVICE,
     RawEndpoint,
-    entry_before,
+    running_entry,
     route,
-    saying,
+    reply_with,
     snapshot_of,
-    whole,
+    full_answer,
 )
 from .builders_answers import reply_in_sequence
-from .builders_crash import asked_at
+from .builders_crash import callers_of
 from .builders_engines import ANSWER, HUGE, STREAM, engines
 from .builders_mesh import entries, running
 
@@ -26,9 +26,9 @@
 
 def limited(number: int, rate: float = 1) -> tuple[RawEndpoint, ...]:
     """Return endpoints that set a rate limit in each answer."""
-    answer = whole(extra=f'Limit: {rate}\r\n')
+    answer = full_answer(extra=f'Limit: {rate}\r\n')
     return tuple(
-        RawEndpoint(f'e{place}', saying(answer)) for place in range(number)
+        RawEndpoint(f'e{place}', reply_with(answer)) for place in range(number)
     )
 
 
@@ -37,7 +37,7 @@
     endpoints = limited(2)
     listed = await snapshot_of(SAFE, endpoints)
     async with running(entries(2, snapshot=listed)) as made:
-        async with asked_at(made[0]) as one, asked_at(made[1]) as other:
+        async with callers_of(made[0]) as one, callers_of(made[1]) as other:
             for number in range(REQUEST_COUNT):
                 caller = (one, other)[number % 2]
                 answer = await caller.ask(Id=f'q{number}')
@@ -50,12 +50,12 @@
 async def test_refusal_without_limit_keeps_rate_limit() -> None:
     """Guards against lifting the limit because of a refusal without one."""
     talk = reply_in_sequence(
-        whole(extra='Limit: 5\r\n'),
-        whole('', 503, 'Not-Run: 1\r\n'),
-        whole(),
+        full_answer(extra='Limit: 5\r\n'),
+        full_answer('', 503, 'Not-Run: 1\r\n'),
+        full_answer(),
     )
     endpoint = RawEndpoint('e1', talk)
-    async with entry_before(SAFE, endpoint) as entry:
+    async with running_entry(SAFE, endpoint) as entry:
         limits = entry.context.dispatcher.limits
         lifetime = endpoint.record(SERVICE).lifetime
         found = []
@@ -69,8 +69,8 @@
 
 async def test_rate_limit_in_answer_to_order_is_applied() -> None:
     """Guards against losing a rate limit from an answer to an order."""
-    fleet = engines(ANSWER, saying(whole('{}', extra='Limit: 5\r\n')))
-    async with entry_before(STREAM, *fleet) as entry:
+    fleet = engines(ANSWER, reply_with(full_answer('{}', extra='Limit: 5\r\n')))
+    async with running_entry(STREAM, *fleet) as entry:
         await entry.ask(Prompt=HUGE)
         now = entry.context.clock.monotonic()
         limits = entry.context.dispatcher.limits
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_reservations.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_reservations.py
@@ -9,17 +9,17 @@
     HOST,
     LAST_CHUNK,
     MODEL,
-    Talk,
+    Script,
     TestEntry,
-    entry_before,
+    running_entry,
     request_bytes,
-    say_nothing,
-    saying,
-    whole,
+    never_reply,
+    reply_with,
+    full_answer,
 )
 from .builders_engines import ANSWER, HUGE, STREAM, Engine, engines
 
-NO_MEMORY = saying(whole('', 409))
+NO_MEMORY = reply_with(full_answer('', 409))
 
 
 async def wait_released(fleet: list[Engine]) -> None:
@@ -43,7 +43,7 @@
 
 async def test_released_after_the_answer() -> None:
     fleet = engines(ANSWER)
-    async with entry_before(STREAM, *fleet) as entry:
+    async with running_entry(STREAM, *fleet) as entry:
         answer = await ask(entry)
         await wait_released(fleet)
     assert answer.endswith(LAST_CHUNK)
@@ -55,8 +55,8 @@
 
     The engine that serves a long prompt dies before its first event.
     """
-    fleet = engines(saying(close=True))
-    async with entry_before(STREAM, *fleet) as entry:
+    fleet = engines(reply_with(close=True))
+    async with running_entry(STREAM, *fleet) as entry:
         await ask(entry)
         await wait_released(fleet)
     assert reserve_count(fleet)
@@ -64,8 +64,8 @@
 
 async def test_released_after_the_caller_disconnects() -> None:
     """Guards against reserved memory of a request that has no caller."""
-    fleet = engines(say_nothing)
-    async with entry_before(STREAM, *fleet) as entry:
+    fleet = engines(never_reply)
+    async with running_entry(STREAM, *fleet) as entry:
         _, writer = await asyncio.open_connection(HOST, entry.port)
         writer.write(request_bytes(Prompt=HUGE))
         while not reserve_count(fleet):
@@ -79,18 +79,18 @@
     fleet = engines(ANSWER)
     fleet[1].order = NO_MEMORY
     fleet[2].order = NO_MEMORY
-    async with entry_before(STREAM, *fleet) as entry:
+    async with running_entry(STREAM, *fleet) as entry:
         await ask(entry)
         await wait_released(fleet)
 
 
-@pytest.mark.parametrize('order', [NO_MEMORY, saying(close=True)])
+@pytest.mark.parametrize('order', [NO_MEMORY, reply_with(close=True)])
 async def test_caller_is_refused_if_no_engine_reserves_memory(
-    order: Talk,
+    order: Script,
 ) -> None:
     """Guards against an answer that hides that the request has not run."""
     fleet = engines(ANSWER, order)
-    async with entry_before(STREAM, *fleet) as entry:
+    async with running_entry(STREAM, *fleet) as entry:
         answer = await ask(entry)
         await wait_released(fleet)
     assert answer.startswith(b'HTTP/1.1 503')
@@ -110,7 +110,7 @@
         await ANSWER(reader, writer)
 
     fleet = engines(slow)
-    async with entry_before(STREAM, *fleet) as entry:
+    async with running_entry(STREAM, *fleet) as entry:
         await ask(entry)
         await wait_released(fleet)
     assert max(one.orders.count('reserve') for one in fleet) == 3
@@ -119,7 +119,7 @@
 async def test_orders_count_against_the_rate_that_an_engine_names() -> None:
     """Guards against orders that exceed the rate limit of an engine."""
     fleet = engines(ANSWER)
-    async with entry_before(STREAM, *fleet) as entry:
+    async with running_entry(STREAM, *fleet) as entry:
         await ask(entry)
         await wait_released(fleet)
         assert all(
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_runs.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_runs.py
@@ -6,17 +6,17 @@
 
 from .builders import (
     RawEndpoint,
-    entry_before,
+    running_entry,
     route,
-    say_nothing,
-    saying,
-    whole,
+    never_reply,
+    reply_with,
+    full_answer,
 )
 from .builders_answers import reply_in_sequence
 
 SAFE = route(RouteKind.SAFE)
 UNSAFE = route(RouteKind.UNSAFE)
-NOT_RUN = whole('', 503, 'Not-Run: 1\r\n')
+NOT_RUN = full_answer('', 503, 'Not-Run: 1\r\n')
 
 
 def run_count(*endpoints: RawEndpoint) -> int:
@@ -29,8 +29,8 @@
     If the endpoint closed the connection at that moment, it would be unknown
     whether the request ran, and a retry could run it twice.
     """
-    endpoint = RawEndpoint('e1', saying(whole()))
-    async with entry_before(UNSAFE, endpoint) as entry:
+    endpoint = RawEndpoint('e1', reply_with(full_answer()))
+    async with running_entry(UNSAFE, endpoint) as entry:
         for _ in range(3):
             assert (await entry.ask()).startswith(b'HTTP/1.1 200')
         assert entry.context.pool.opened == 3
@@ -41,9 +41,9 @@
 
     The caller must see a failure, not a refusal, because the request ran.
     """
-    one = RawEndpoint('e1', saying(close=True))
-    two = RawEndpoint('e2', saying(close=True))
-    async with entry_before(UNSAFE, one, two) as entry:
+    one = RawEndpoint('e1', reply_with(close=True))
+    two = RawEndpoint('e2', reply_with(close=True))
+    async with running_entry(UNSAFE, one, two) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 502')
     assert b'Retry-After' not in answer
@@ -52,7 +52,7 @@
 
 async def test_safe_request_with_lost_answer_is_retried() -> None:
     """Guards against failing a safe request whose answer is lost."""
-    answers = iter((b'', whole('found')))
+    answers = iter((b'', full_answer('found')))
 
     async def talk(
         reader: asyncio.StreamReader,
@@ -64,24 +64,24 @@
         writer.write(answer)
 
     endpoints = (RawEndpoint('e1', talk), RawEndpoint('e2', talk))
-    async with entry_before(SAFE, *endpoints) as entry:
+    async with running_entry(SAFE, *endpoints) as entry:
         answer = await entry.ask()
     assert answer.endswith(b'found')
 
 
 async def test_unsafe_request_that_did_not_run_is_retried() -> None:
     """Guards against failing an unsafe request that a full replica refused."""
-    talk = reply_in_sequence(NOT_RUN, whole('recorded'))
+    talk = reply_in_sequence(NOT_RUN, full_answer('recorded'))
     endpoints = (RawEndpoint('e1', talk), RawEndpoint('e2', talk))
-    async with entry_before(UNSAFE, *endpoints) as entry:
+    async with running_entry(UNSAFE, *endpoints) as entry:
         answer = await entry.ask()
     assert answer.endswith(b'recorded')
 
 
 async def test_request_is_refused_if_all_replicas_are_full() -> None:
     """Guards against a failure, or no retry time, if all replicas refuse."""
-    endpoints = [RawEndpoint(f'e{one}', saying(NOT_RUN)) for one in range(3)]
-    async with entry_before(UNSAFE, *endpoints) as entry:
+    endpoints = [RawEndpoint(f'e{one}', reply_with(NOT_RUN)) for one in range(3)]
+    async with running_entry(UNSAFE, *endpoints) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 503')
     # 0.4 s, spread by the request id so that callers do not retry together.
@@ -94,8 +94,8 @@
     The only replica runs the request and its answer is lost. A refusal would
     state wrongly that the request has not run.
     """
-    only = RawEndpoint('e1', saying(close=True))
-    async with entry_before(SAFE, only) as entry:
+    only = RawEndpoint('e1', reply_with(close=True))
+    async with running_entry(SAFE, only) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 502')
     assert b'Retry-After' not in answer
@@ -103,8 +103,8 @@
 
 async def test_failure_of_endpoint_is_forwarded() -> None:
     """Guards against replacing an endpoint's own failure."""
-    failed = whole('no such guest', 500)
-    async with entry_before(UNSAFE, RawEndpoint('e1', saying(failed))) as entry:
+    failed = full_answer('no such guest', 500)
+    async with running_entry(UNSAFE, RawEndpoint('e1', reply_with(failed))) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 500')
     assert answer.endswith(b'no such guest')
@@ -116,16 +116,16 @@
     Two of three replicas have left. Without a retry at the third one, one
     request in seven would be lost until the others return.
     """
-    talk = reply_in_sequence(whole('busy', 500), whole('found'))
-    async with entry_before(SAFE, RawEndpoint('e1', talk)) as entry:
+    talk = reply_in_sequence(full_answer('busy', 500), full_answer('found'))
+    async with running_entry(SAFE, RawEndpoint('e1', talk)) as entry:
         answer = await entry.ask()
     assert answer.endswith(b'found')
 
 
 async def test_repeated_failure_of_only_replica_is_forwarded() -> None:
     """Guards against replacing the only replica's failure by a refusal."""
-    endpoint = RawEndpoint('e1', saying(whole('no such guest', 500)))
-    async with entry_before(SAFE, endpoint) as entry:
+    endpoint = RawEndpoint('e1', reply_with(full_answer('no such guest', 500)))
+    async with running_entry(SAFE, endpoint) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 500')
     assert run_count(endpoint) == 2
@@ -137,9 +137,9 @@
     The status would imply that the request has not run, and the caller would
     send the unsafe request again.
     """
-    ambiguous = whole('busy', 503)
-    async with entry_before(
-        UNSAFE, RawEndpoint('e1', saying(ambiguous))
+    ambiguous = full_answer('busy', 503)
+    async with running_entry(
+        UNSAFE, RawEndpoint('e1', reply_with(ambiguous))
     ) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 502')
@@ -147,10 +147,10 @@
 
 async def test_request_is_answered_at_time_limit() -> None:
     """Guards against a caller that waits beyond its time limit."""
-    hanging = RawEndpoint('e1', say_nothing)
+    hanging = RawEndpoint('e1', never_reply)
     hanging_seconds = 0.3
     made = route(RouteKind.UNSAFE, time_limit=hanging_seconds)
-    async with entry_before(made, hanging) as entry:
+    async with running_entry(made, hanging) as entry:
         began = entry.context.clock.monotonic()
         answer = await entry.ask()
         passed = entry.context.clock.monotonic() - began
@@ -161,8 +161,8 @@
 
 async def test_unknown_route_or_key_is_refused() -> None:
     """Guards against forwarding requests that cannot be admitted."""
-    endpoint = RawEndpoint('e1', saying(whole()))
-    async with entry_before(SAFE, endpoint) as entry:
+    endpoint = RawEndpoint('e1', reply_with(full_answer()))
+    async with running_entry(SAFE, endpoint) as entry:
         for headers, line, status in (
             ({'Host': 'other.example'}, 'GET /a/x HTTP/1.1', b'404'),
             ({}, 'GET /b/x HTTP/1.1', b'404'),
@@ -180,8 +180,8 @@
     If the entry and an endpoint disagreed on the end of the request, the
     remainder would run as a separate request.
     """
-    endpoint = RawEndpoint('e1', saying(whole()))
-    async with entry_before(SAFE, endpoint) as entry:
+    endpoint = RawEndpoint('e1', reply_with(full_answer()))
+    async with running_entry(SAFE, endpoint) as entry:
         answer = await entry.ask(
             'POST /a/x HTTP/1.1',
             'Transfer-Encoding: chunked',
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_start.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_start.py
@@ -13,10 +13,10 @@
     SNAPSHOT,
     FixedFeed,
     RawEndpoint,
-    entry_before,
+    running_entry,
     route,
-    saying,
-    whole,
+    reply_with,
+    full_answer,
 )
 
 CALLER_COUNT = 20
@@ -76,8 +76,8 @@
 
     These callers could not connect a moment before and have no retry left.
     """
-    endpoint = RawEndpoint('e1', saying(whole()))
-    async with entry_before(route(RouteKind.SAFE), endpoint) as entry:
+    endpoint = RawEndpoint('e1', reply_with(full_answer()))
+    async with running_entry(route(RouteKind.SAFE), endpoint) as entry:
         keeper = entry.context.keeper
         table = keeper.table
         keeper.table = None
@@ -112,8 +112,8 @@
     callers retry once. With a delay of half a second, all callers would retry
     together, still within the outage, and be lost.
     """
-    endpoint = RawEndpoint('e1', saying(whole()))
-    async with entry_before(route(RouteKind.SAFE), endpoint) as entry:
+    endpoint = RawEndpoint('e1', reply_with(full_answer()))
+    async with running_entry(route(RouteKind.SAFE), endpoint) as entry:
         entry.context.keeper.table = None
         asked = [
             entry.ask(Id=f'q{number}', Patience='9')
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_stopping.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_stopping.py
@@ -17,11 +17,11 @@
     FixedFeed,
     RawEndpoint,
     SimpleWire,
-    entry_before,
+    running_entry,
     request_bytes,
     route,
-    saying,
-    whole,
+    reply_with,
+    full_answer,
 )
 
 NOWHERE = f'{HOST}:0'
@@ -89,8 +89,8 @@
 
     The caller would not know whether its unsafe request ran.
     """
-    endpoint = RawEndpoint('e1', saying(whole('recorded')))
-    async with entry_before(route(RouteKind.UNSAFE), endpoint) as entry:
+    endpoint = RawEndpoint('e1', reply_with(full_answer('recorded')))
+    async with running_entry(route(RouteKind.UNSAFE), endpoint) as entry:
         reader, writer = await asyncio.open_connection(HOST, entry.port)
         idle, _ = await asyncio.open_connection(HOST, entry.port)
         while len(entry.connections.idle) < 2:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials.py
@@ -8,7 +8,7 @@
 from sycamore_core.membership.members import NEAR_SILENCE
 from sycamore_core.messages import TrialAnswer, TrialWanted
 
-from ..trials import FleetGrants, OwnGrants
+from ..trials import FleetTrialGrants, LocalTrialGrants
 from .builders_crash import ambiguous_crashes
 from .builders_mesh import entries, running
 
@@ -38,8 +38,8 @@
         self.quarantine = Quarantine()
         self.postbox = RecordingNode()
         self.membership = Membership('tcp://own', ZONE)
-        self.fleet = FleetGrants(
-            OwnGrants(self.quarantine, self.clock),
+        self.fleet = FleetTrialGrants(
+            LocalTrialGrants(self.quarantine, self.clock),
             self.postbox,
             self.membership,
         )
@@ -50,13 +50,13 @@
     def receive_update(self, address: str) -> None:
         now = self.clock.monotonic()
         if self.membership.hear(address, ZONE, PeerId(address), now):
-            self.fleet.met(now)
+            self.fleet.record_peer_joined(now)
 
     def run(self, seconds: float) -> None:
         """Advance the clock by slightly more, while the process runs."""
         for _ in range(int(seconds * 10) + 2):
             self.clock.advance(0.1)
-            self.fleet.runs(self.clock.monotonic())
+            self.fleet.record_running(self.clock.monotonic())
 
     def add_suspect(self, suspect: ContentDigest = CONTENT) -> None:
         """Record crashes of a suspect whose quarantine has ended."""
@@ -65,7 +65,7 @@
 
     def grant_to_peer(self, content: ContentDigest = CONTENT) -> int:
         """Return the number of the trial that is granted to a peer."""
-        self.fleet.answer(self.postbox, TrialWanted(content))
+        self.fleet.handle_trial_request(self.postbox, TrialWanted(content))
         answer = self.postbox.posted.pop()
         assert isinstance(answer, TrialAnswer)
         return answer.number
@@ -82,7 +82,7 @@
 def test_entry_grants_no_trial_after_start() -> None:
     """Guards against a grant before the entry knows of earlier trials."""
     entry = EntryUnderTest()
-    entry.fleet.met(entry.clock.monotonic())
+    entry.fleet.record_peer_joined(entry.clock.monotonic())
     entry.add_suspect()
     assert not entry.grant_to_peer()
 
@@ -144,6 +144,6 @@
 async def test_entry_without_peers_uses_local_grants() -> None:
     """Guards against endless quarantine in an entry without peers."""
     process = entries(1)[0]
-    assert isinstance(process.context.trials, OwnGrants)
+    assert isinstance(process.context.trials, LocalTrialGrants)
     async with running([process]):
         assert process.context.trials is process.mesh.trials
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials_machine.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials_machine.py
@@ -19,7 +19,7 @@
 from sycamore_core.membership import Membership
 from sycamore_core.messages import Message, TrialAnswer, TrialWanted
 
-from ..trials import FleetGrants, OwnGrants
+from ..trials import FleetTrialGrants, LocalTrialGrants
 from .builders_crash import ambiguous_crashes
 
 CONTENT = ContentDigest(b'crashing request')
@@ -48,7 +48,7 @@
         """Have all running entries report their quarantine to the others."""
         running = [one for one in self.entries if one.place != still]
         for entry in running:
-            entry.fleet.runs(self.clock.monotonic())
+            entry.fleet.record_running(self.clock.monotonic())
         for sender in running:
             for receiver in running:
                 if sender is not receiver:
@@ -77,8 +77,8 @@
         self.clock = all_entries.clock
         self.quarantine = Quarantine()
         self.membership = Membership(address_of(place), ZONE)
-        self.fleet = FleetGrants(
-            OwnGrants(self.quarantine, self.clock),
+        self.fleet = FleetTrialGrants(
+            LocalTrialGrants(self.quarantine, self.clock),
             None,
             self.membership,
         )
@@ -91,7 +91,7 @@
             return False
         answers = Answers()
         other = self.all_entries.entries[place]
-        other.fleet.answer(answers, TrialWanted(content))
+        other.fleet.handle_trial_request(answers, TrialWanted(content))
         now = self.clock.monotonic()
         self.quarantine.record_trial(content, answers.number, now)
         return answers.number > 0
@@ -103,7 +103,7 @@
         now = self.clock.monotonic()
         address = sender.membership.address
         if self.membership.hear(address, ZONE, PeerId(address), now):
-            self.fleet.met(now)
+            self.fleet.record_peer_joined(now)
         self.quarantine.handle_reports(sender.quarantine.book.rotating_reports(now), now)
 
     def know_of_crashes(self) -> None:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_whole_answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_whole_answers.py
@@ -11,14 +11,14 @@
     MODEL,
     RawEndpoint,
     chunk,
-    entry_before,
+    running_entry,
     event,
     request_bytes,
     route,
-    say_nothing,
-    saying,
+    never_reply,
+    reply_with,
     stream_head,
-    whole,
+    full_answer,
 )
 from .builders_answers import reply_in_sequence
 
@@ -28,8 +28,8 @@
 
 
 async def test_answer_and_request_are_forwarded_unchanged() -> None:
-    endpoint = RawEndpoint('e1', saying(whole('report', extra='Other: 1\r\n')))
-    async with entry_before(SAFE, endpoint) as entry:
+    endpoint = RawEndpoint('e1', reply_with(full_answer('report', extra='Other: 1\r\n')))
+    async with running_entry(SAFE, endpoint) as entry:
         answer = await entry.ask(body=b'text')
     head, _, body = answer.partition(b'\r\n\r\n')
     assert body == b'report'
@@ -48,9 +48,9 @@
     not run a second time.
     """
     cut = b'HTTP/1.1 200 OK\r\nSigned: yes\r\nContent-Length: 50\r\n\r\nhalf'
-    one = RawEndpoint('e1', saying(cut, close=True))
-    two = RawEndpoint('e2', saying(cut, close=True))
-    async with entry_before(UNSAFE, one, two) as entry:
+    one = RawEndpoint('e1', reply_with(cut, close=True))
+    two = RawEndpoint('e2', reply_with(cut, close=True))
+    async with running_entry(UNSAFE, one, two) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 502')
     assert len(one.requests) + len(two.requests) == 1
@@ -62,16 +62,16 @@
     The caller would take it for the confirmation of its request.
     """
     forged = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
-    async with entry_before(UNSAFE, RawEndpoint('e1', saying(forged))) as entry:
+    async with running_entry(UNSAFE, RawEndpoint('e1', reply_with(forged))) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 502')
 
 
 async def test_answer_to_another_request_is_not_forwarded() -> None:
     """Guards against a late answer that reaches the next request's caller."""
-    foreign = whole('not yours', extra='Id: other\r\n')
-    async with entry_before(
-        UNSAFE, RawEndpoint('e1', saying(foreign))
+    foreign = full_answer('not yours', extra='Id: other\r\n')
+    async with running_entry(
+        UNSAFE, RawEndpoint('e1', reply_with(foreign))
     ) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 502')
@@ -83,8 +83,8 @@
 
     The next caller would receive it as the answer to its own request.
     """
-    talk = reply_in_sequence(whole('first') + whole('extra'), whole('second'))
-    async with entry_before(SAFE, RawEndpoint('e1', talk)) as entry:
+    talk = reply_in_sequence(full_answer('first') + full_answer('extra'), full_answer('second'))
+    async with running_entry(SAFE, RawEndpoint('e1', talk)) as entry:
         first = await entry.ask()
         await asyncio.sleep(0.05)
         second = await entry.ask()
@@ -108,7 +108,7 @@
         writer.transport.abort()
         raise ConnectionError
 
-    async with entry_before(UNSAFE, RawEndpoint('e1', talk)) as entry:
+    async with running_entry(UNSAFE, RawEndpoint('e1', talk)) as entry:
         answer = await entry.ask()
     # On some systems, an abort with no unread bytes closes the connection
     # normally; the answer is complete then.
@@ -123,7 +123,7 @@
     """
     first = RawEndpoint(
         'e1',
-        saying(
+        reply_with(
             stream_head(),
             chunk(event(0)),
             chunk(f'{event(1)}id: 2\nda'),
@@ -132,7 +132,7 @@
     )
     second = RawEndpoint(
         'e2',
-        saying(stream_head(), chunk(event(2)), chunk(event(3)), LAST_CHUNK),
+        reply_with(stream_head(), chunk(event(2)), chunk(event(3)), LAST_CHUNK),
     )
 
     async def reply_in_order(
@@ -147,7 +147,7 @@
     second_talk = second.talk
     first.talk = reply_in_order
     second.talk = reply_in_order
-    async with entry_before(STREAM, first, second) as entry:
+    async with running_entry(STREAM, first, second) as entry:
         answer = await entry.ask(Prompt='1000')
     requests = first.requests + second.requests
     assert sorted(one['after'] for one in requests) == ['', '1']
@@ -163,8 +163,8 @@
     The caller's connection closes without the last chunk, and without the
     head of a refusal within the stream.
     """
-    only = RawEndpoint('e1', saying(stream_head(), chunk(event(0)), close=True))
-    async with entry_before(STREAM, only) as entry:
+    only = RawEndpoint('e1', reply_with(stream_head(), chunk(event(0)), close=True))
+    async with running_entry(STREAM, only) as entry:
         answer = await entry.ask(Prompt='1000')
     assert answer.count(b'HTTP/1.1') == 1
     assert not answer.endswith(LAST_CHUNK)
@@ -182,7 +182,7 @@
         await go_on.wait()
         writer.write(chunk(event(1)) + LAST_CHUNK)
 
-    async with entry_before(STREAM, RawEndpoint('e1', talk)) as entry:
+    async with running_entry(STREAM, RawEndpoint('e1', talk)) as entry:
         reader, writer = await asyncio.open_connection(HOST, entry.port)
         writer.write(request_bytes(Prompt='1000'))
         early = await asyncio.wait_for(reader.readuntil(b'piece 0'), 5)
@@ -199,8 +199,8 @@
     The caller leaves before the answer has begun. The endpoint must see its
     connection close.
     """
-    endpoint = RawEndpoint('e1', say_nothing)
-    async with entry_before(made, endpoint) as entry:
+    endpoint = RawEndpoint('e1', never_reply)
+    async with running_entry(made, endpoint) as entry:
         _, writer = await asyncio.open_connection(HOST, entry.port)
         writer.write(request_bytes(Prompt='1000'))
         while not endpoint.requests:
@@ -209,4 +209,4 @@
         async with asyncio.timeout(0.5):
             while not endpoint.closed:
                 await asyncio.sleep(0.01)
-        assert not entry.context.dispatcher.book.own
+        assert not entry.context.dispatcher.loads.own
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/trials.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/trials.py
@@ -32,7 +32,7 @@
         """Return whether this entry may make the next attempt."""
 
 
-class OwnGrants(TrialGrants):
+class LocalTrialGrants(TrialGrants):
     """Trial grants of an entry without peers."""
 
     def __init__(self, quarantine: Quarantine, clock: Clock) -> None:
@@ -48,7 +48,7 @@
         return self.quarantine.grant_trial(content, self.clock.monotonic())
 
 
-class FleetGrants(TrialGrants):
+class FleetTrialGrants(TrialGrants):
     """Trial grants of an entry with peers.
 
     For each content, one entry of the fleet grants all trials.
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        own: OwnGrants,
+        own: LocalTrialGrants,
         node: Node,
         membership: Membership,
     ) -> None:
@@ -88,18 +88,18 @@
         )
         return number > 0
 
-    def answer(self, peer: Peer, wanted: TrialWanted) -> None:
+    def handle_trial_request(self, peer: Peer, wanted: TrialWanted) -> None:
         """Answer the request of a peer for a trial."""
         number = self._grant(wanted.content)
         peer.post(TrialAnswer(wanted.content, number))
 
-    def take(self, peer: Peer, answer: TrialAnswer) -> None:
+    def handle_trial_answer(self, peer: Peer, answer: TrialAnswer) -> None:
         """Handle the answer of the granting entry."""
         future = self.pending.get(answer.content)
         if future is not None and not future.done():
             future.set_result(answer.number)
 
-    def runs(self, now: float) -> None:
+    def record_running(self, now: float) -> None:
         """Record that this process runs.
 
         Without this, a process that was suspended would grant trials that
@@ -109,7 +109,7 @@
             self._stable_since = now
         self._last_running_at = now
 
-    def met(self, now: float) -> None:
+    def record_peer_joined(self, now: float) -> None:
         """Record that a peer has joined, for the first time or again.
 
         Without this, when a partition of the fleet ends, an entry of one half
@@ -133,7 +133,7 @@
         if self.granting_address(content) != self.membership.address:
             return 0
         now = self.local_grants.clock.monotonic()
-        self.runs(now)
+        self.record_running(now)
         steady_seconds = now - self._stable_since
         if not may_grant(steady_seconds, self.membership.heard_part):
             return 0
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/wire.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/wire.py
@@ -81,7 +81,7 @@
     after_event: str = ''
 
 
-class NamedLimit(msgspec.Struct, frozen=True):
+class AnnouncedLimit(msgspec.Struct, frozen=True):
     """Rate limit that an endpoint sets for all entries together.
 
     Attributes
@@ -96,10 +96,10 @@
     is_unreadable: bool = False
 
 
-NO_LIMIT = NamedLimit()
+NO_LIMIT = AnnouncedLimit()
 
 
-class AskedRest(msgspec.Struct, frozen=True):
+class RequestedBackoff(msgspec.Struct, frozen=True):
     """Backoff that an endpoint requests when it refuses a request.
 
     Attributes
@@ -115,7 +115,7 @@
     is_unreadable: bool = False
 
 
-NO_REST = AskedRest()
+NO_BACKOFF = RequestedBackoff()
 
 
 class AnswerHead(msgspec.Struct, frozen=True, kw_only=True):
@@ -162,9 +162,9 @@
     faulty_address: str = ''
     idle_seconds: float | None = None
     closes: bool = False
-    limit: NamedLimit = NO_LIMIT
+    limit: AnnouncedLimit = NO_LIMIT
     is_leaving: bool = False
-    rest: AskedRest = NO_REST
+    rest: RequestedBackoff = NO_BACKOFF
     unknown_names: tuple[str, ...] = ()
 
     @property
