--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
@@ -202,7 +202,7 @@
             detail=error.detail,
             sent=self.attempts.sent,
             may_have_run=self.attempts.may_have_run,
-            events=relay.last_number,
+            events=relay.last_event_id,
             content=call.content.digest_for_log(error.end),
             step=step,
         )
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/outcome.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/outcome.py
@@ -79,7 +79,7 @@
     async def relay_failure(self, relay: AnswerRelay) -> None:
         """Forward the failure that an endpoint answered with."""
         self.label = 'endpoint_failed'
-        await relay.hand_on_failure()
+        await relay.relay_failure()
 
     def _own_headers(self) -> HTTPHeaders:
         return self.context.wire.own_headers(self.request_id)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
@@ -81,7 +81,7 @@
         return is_isolated(
             self.last_peer_message_at,
             self.clock.monotonic(),
-            platform_unreachable=self.keeper.is_away,
+            platform_unreachable=self.keeper.is_unreachable,
         )
 
     @property
@@ -97,7 +97,7 @@
     def apply_settings(self, settings: ForwardingSettings) -> None:
         """Apply changed settings; listening addresses need a restart."""
         self.settings = settings
-        self.keeper.pace.change_seconds = settings.change_seconds
+        self.keeper.read_limit.change_seconds = settings.change_seconds
         for allowance in self.allowances.values():
             allowance.bounds = settings.allowance
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
@@ -95,7 +95,7 @@
         # A stream counts as idempotent only if it can be resumed. The `fresh`
         # parameter of the pool explains the risk of an idle connection.
         fresh = not self.call.route.kind.is_idempotent
-        channel = await self.context.pool.take(primary, fresh=fresh)
+        channel = await self.context.pool.acquire(primary, fresh=fresh)
         try:
             self._check_still_accepts()
             self._send(channel, relay, reserved)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/pool.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/pool.py
@@ -27,7 +27,7 @@
         self.opened = 0
         self._idle: dict[tuple[str, str], list[EndpointChannel]] = {}
 
-    async def take(
+    async def acquire(
         self,
         record: EndpointRecord,
         *,
@@ -71,7 +71,7 @@
         channel.idle_since = asyncio.get_running_loop().time()
         idle.append(channel)
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close the connections that have been idle for too long."""
         now = asyncio.get_running_loop().time()
         for key, idle in tuple(self._idle.items()):
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/relay.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/relay.py
@@ -21,7 +21,7 @@
 
     Attributes
     ----------
-    last_number
+    last_event_id
         Id of the last event that the caller has received; -1 before it.
     failure
         Head and body of the last answer that reports a failed request.
@@ -36,13 +36,13 @@
         self.answer = answer
         self.route = route
         self.on_first_bytes = on_first_bytes
-        self.last_number = _NO_EVENT
+        self.last_event_id = _NO_EVENT
         self.failure: tuple[AnswerHead, bytes] | None = None
 
     @property
     def after_event(self) -> str:
         """Return the id after which to resume the stream; empty at first."""
-        return '' if self.last_number < 0 else str(self.last_number)
+        return '' if self.last_event_id < 0 else str(self.last_event_id)
 
     async def relay_whole(
         self,
@@ -92,7 +92,7 @@
             chunk = await channel.read_chunk()
         await self._finish(head, splitter.remainder)
 
-    async def hand_on_failure(self) -> None:
+    async def relay_failure(self) -> None:
         """Forward the last answer that reports a failure."""
         assert self.failure is not None
         head, body = self.failure
@@ -101,7 +101,7 @@
     def _is_new(self, event: StreamEvent) -> bool:
         if event.number < 0:
             return True
-        return event.number > self.last_number
+        return event.number > self.last_event_id
 
     async def _forward(
         self,
@@ -109,7 +109,7 @@
         events: list[StreamEvent],
     ) -> None:
         payload = b''.join(event.payload for event in events)
-        self.last_number = max(self.last_number, events[-1].number)
+        self.last_event_id = max(self.last_event_id, events[-1].number)
         if self.answer.has_begun:
             await self.answer.write(payload)
             return
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/reservations.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/reservations.py
@@ -133,7 +133,7 @@
         self.context.dispatcher.record_order(record)
         try:
             async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
-                channel = await self.context.pool.take(record, fresh=False)
+                channel = await self.context.pool.acquire(record, fresh=False)
                 head = await _request_head(channel, start, headers, order.body)
         except (AttemptError, TimeoutError) as error:
             self.context.log.info(
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/keeper.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/keeper.py
@@ -34,7 +34,7 @@
 )
 from .first_list import FirstList
 from .leaving import LeavingEndpoints
-from .read_pace import ReadPace
+from .read_pace import ReadRateLimit
 from .restoration import Restoration
 
 #: Shortest and longest pause after failed reads, in seconds. The platform
@@ -61,7 +61,7 @@
         monotonic clock; None before the first confirmation.
     first_list
         Fetches the first list of endpoints.
-    pace
+    read_limit
         Limits how often the platform is read.
     leaving
         Endpoints that leave.
@@ -73,11 +73,11 @@
         self,
         feed: FleetFeed,
         clock: Clock,
-        read_limit: ReadPace | None = None,
+        read_limit: ReadRateLimit | None = None,
     ) -> None:
         self.feed = feed
         self.clock = clock
-        self.pace = read_limit or ReadPace()
+        self.read_limit = read_limit or ReadRateLimit()
         self.table: RoutingTable | None = None
         self.directory = EndpointDirectory()
         self.confirmed_at: float | None = None
@@ -90,7 +90,7 @@
         self._failures = 0
 
     @property
-    def is_away(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether the platform does not answer."""
         return self._failures > 0
 
@@ -123,11 +123,11 @@
     async def run(self) -> None:
         """Read and watch the platform until cancelled."""
         while True:
-            has_changed = await self.step()
+            has_changed = await self.read_once()
             if has_changed:
-                await self.pace.gather()
+                await self.read_limit.gather()
 
-    async def step(self) -> bool:
+    async def read_once(self) -> bool:
         """Read the platform once; return whether there was a change."""
         try:
             has_changed = await self._read()
@@ -171,7 +171,7 @@
 
     async def _watch(self) -> bool:
         """Wait for a change; return whether one came."""
-        seconds = self.pace.change_seconds
+        seconds = self.read_limit.change_seconds
         batch = await self.feed.changes(self._revision, seconds)
         is_restored = self.restoration.record_epoch(batch.epoch)
         if is_restored or self.restoration.pop_settled():
@@ -206,7 +206,7 @@
         self.directory.replace(
             snapshot.endpoints,
             self.clock.monotonic(),
-            after_outage=self.is_away or is_old_copy,
+            after_outage=self.is_unreachable or is_old_copy,
             is_old_copy=is_old_copy,
         )
         self._revision = snapshot.revision
@@ -214,7 +214,7 @@
             'endpoints_listed',
             endpoints=len(snapshot.endpoints),
             revision=snapshot.revision,
-            after_outage=self.is_away,
+            after_outage=self.is_unreachable,
             is_old_copy=is_old_copy,
         )
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/read_pace.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/read_pace.py
@@ -22,7 +22,7 @@
 _CALLS_PER_S = 35.0
 
 
-class ReadPace:
+class ReadRateLimit:
     """Sets the length of watches and of the pauses between them.
 
     Attributes
@@ -38,7 +38,7 @@
     def __init__(self, change_seconds: float = CHANGE_SECONDS) -> None:
         self.change_seconds = change_seconds
         self.entries = 1
-        self._is_pause_ended = asyncio.Event()
+        self._pause_end = asyncio.Event()
 
     @property
     def gather_seconds(self) -> float:
@@ -46,7 +46,7 @@
 
         Examples
         --------
-        >>> limit = ReadPace(change_seconds=4)
+        >>> limit = ReadRateLimit(change_seconds=4)
         >>> limit.entries = 7
         >>> limit.gather_seconds
         0.2
@@ -64,11 +64,11 @@
         configuration reports it to the others, so that their pauses do not
         delay it.
         """
-        self._is_pause_ended.set()
+        self._pause_end.set()
 
     async def gather(self) -> None:
         """Wait for more changes, unless a peer has a newer configuration."""
-        self._is_pause_ended.clear()
+        self._pause_end.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.gather_seconds):
-                await self._is_pause_ended.wait()
+                await self._pause_end.wait()
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
@@ -133,9 +133,9 @@
         except TransportError as error:
             # The entry goes on without peers, on its own state alone.
             self.log.error('mesh_closed', reason=str(error))
-        self.meet_seeds()
+        self.introduce_to_seeds()
 
-    def meet_seeds(self) -> None:
+    def introduce_to_seeds(self) -> None:
         """Introduce this entry to the seeds that are not known to be alive.
 
         A seed may be down, or may have been down when this entry started.
@@ -155,7 +155,7 @@
             if now >= self._next_full_at or self._has_changed():
                 self._next_full_at = now + FULL_UPDATE_SECONDS
                 self._update_membership(now)
-                self.meet_seeds()
+                self.introduce_to_seeds()
                 self.sender.send_full(now)
                 self.schedule.record_update(now)
             elif changed:
@@ -304,7 +304,7 @@
         limits = self.context.dispatcher.limits
         limits.reporting_fraction = self.membership.heard_part
         limits.entry_count = len(self.membership.near()) + 1
-        self.keeper.pace.entries = self.membership.expected
+        self.keeper.read_limit.entries = self.membership.expected
         cells = self.membership.cells
         if cells != self.context.dispatcher.cells.zones:
             self.log.info('cells_changed', zones=sorted(cells))
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/newer_settings.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/newer_settings.py
@@ -32,7 +32,7 @@
         """
         if version <= max(self.keeper.version, self._requested_version):
             return
-        self.keeper.pace.end_pause()
+        self.keeper.read_limit.end_pause()
         self._requested_version = version
         loop = asyncio.get_running_loop()
         loop.call_later(REQUEST_DELAY_SECONDS, self._request, peer, version)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/process.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/process.py
@@ -25,7 +25,7 @@
 from .endpoints.pool import ChannelPool
 from .fleet.feed import FleetFeed
 from .fleet.keeper import FleetKeeper
-from .fleet.read_pace import ReadPace
+from .fleet.read_pace import ReadRateLimit
 from .mesh.entry_mesh import EntryMesh
 from .metrics import ForwardingMetrics, MetricsPage
 from .placement.dispatcher import DirectDispatcher
@@ -96,7 +96,7 @@
         """
         settings = read_settings()
         clock = SystemClock()
-        keeper = FleetKeeper(feed, clock, ReadPace(settings.change_seconds))
+        keeper = FleetKeeper(feed, clock, ReadRateLimit(settings.change_seconds))
         context = ForwardingContext(
             settings=settings,
             clock=clock,
@@ -169,7 +169,7 @@
             return
         if settings != self.context.settings:
             self.context.apply_settings(settings)
-            self.mesh.meet_seeds()
+            self.mesh.introduce_to_seeds()
         elif not asked:
             return
         self.log.info('reloaded', entry=settings.name, asked=asked)
@@ -244,7 +244,7 @@
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL_SECONDS)
-            self.context.pool.sweep()
+            self.context.pool.close_expired()
 
     async def _stop(self, callers: HTTPServer) -> None:
         """Close callers' connections after open requests have finished."""
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_asked_rest.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_asked_rest.py
@@ -138,14 +138,14 @@
 def delay_connections(entry: TestEntry) -> None:
     """Delay each connection after the first for longer than an answer."""
     pool = entry.context.pool
-    take = pool.take
+    take = pool.acquire
     delays = iter((0, *((0.2,) * REQUEST_COUNT)))
 
     async def take_delayed(record, *, fresh):
         await asyncio.sleep(next(delays))
         return await take(record, fresh=fresh)
 
-    pool.take = take_delayed
+    pool.acquire = take_delayed
 
 
 async def test_backoff_applies_only_to_entry_that_received_it() -> None:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_read_pace.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_read_pace.py
@@ -7,7 +7,7 @@
 
 from ..fleet.feed import ChangeBatch, EndpointChanged, Revision
 from ..fleet.keeper import FleetKeeper
-from ..fleet.read_pace import ReadPace
+from ..fleet.read_pace import ReadRateLimit
 from .builders import ENDPOINT, SNAPSHOT, FixedFeed
 
 CHANGES = 60
@@ -56,7 +56,7 @@
         self.more.set()
 
 
-async def start_keeper(feed: BusyFeed, limit: ReadPace) -> asyncio.Task[None]:
+async def start_keeper(feed: BusyFeed, limit: ReadRateLimit) -> asyncio.Task[None]:
     keeper = FleetKeeper(feed, SystemClock(), limit)
     return asyncio.create_task(keeper.run())
 
@@ -68,7 +68,7 @@
     pause, every entry would make one call for every endpoint.
     """
     feed = BusyFeed()
-    limit = ReadPace(CHANGE_SECONDS)
+    limit = ReadRateLimit(CHANGE_SECONDS)
     limit.entries = 68
     task = await start_keeper(feed, limit)
     for _ in range(CHANGES):
@@ -87,7 +87,7 @@
     A service is replaced within 20 s, with changes all the time. Each entry
     reads as often as its pauses permit, and the operator pays for every call.
     """
-    limit = ReadPace(change_seconds=8)
+    limit = ReadRateLimit(change_seconds=8)
     limit.entries = entries
     calls = entries * 20 / limit.gather_seconds
     assert calls <= 1000
@@ -99,7 +99,7 @@
     The calls of all its entries would take minutes at the permitted rate.
     """
     feed = BusyFeed()
-    limit = ReadPace(CHANGE_SECONDS)
+    limit = ReadRateLimit(CHANGE_SECONDS)
     limit.entries = 1_000_000
     assert limit.gather_seconds <= CHANGE_SECONDS / 4
     task = await start_keeper(feed, limit)
@@ -120,7 +120,7 @@
     A peer reports a newer configuration while this entry gathers changes.
     """
     feed = BusyFeed()
-    limit = ReadPace(change_seconds=600)
+    limit = ReadRateLimit(change_seconds=600)
     limit.entries = 10_000
     task = await start_keeper(feed, limit)
     await asyncio.sleep(GAP_SECONDS)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_restored_platform.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_restored_platform.py
@@ -73,7 +73,7 @@
 async def start_keeper(feed: CopiedFeed, clock: ManualClock) -> FleetKeeper:
     """Return a keeper that has read the first list."""
     keeper = FleetKeeper(feed, clock)
-    await keeper.step()
+    await keeper.read_once()
     return keeper
 
 
@@ -87,8 +87,8 @@
     keeper = await start_keeper(feed, ManualClock())
     feed.restore(ENDPOINT, OTHER)
     feed.batches = [ChangeBatch(Revision(12), epoch=Epoch(2))]
-    await keeper.step()
-    await keeper.step()
+    await keeper.read_once()
+    await keeper.read_once()
     assert usable(keeper) == {ENDPOINT.endpoint, OTHER.endpoint}
 
 
@@ -99,8 +99,8 @@
     keeper = await start_keeper(feed, clock)
     feed.restore(ENDPOINT)
     feed.batches = [HistoryLostError('no history')]
-    await keeper.step()
-    await keeper.step()
+    await keeper.read_once()
+    await keeper.read_once()
     assert OTHER.endpoint in usable(keeper)
     clock.advance(3)
     keeper.drop_expired()
@@ -114,8 +114,8 @@
     keeper.directory.remove(OTHER.endpoint)
     feed.restore(ENDPOINT, OTHER)
     feed.batches = [HistoryLostError('no history')]
-    await keeper.step()
-    await keeper.step()
+    await keeper.read_once()
+    await keeper.read_once()
     assert usable(keeper) == {ENDPOINT.endpoint}
 
 
@@ -127,11 +127,11 @@
     keeper.directory.remove(OTHER.endpoint)
     feed.restore(ENDPOINT, OTHER)
     feed.batches = [HistoryLostError('no history')]
-    await keeper.step()
-    await keeper.step()
+    await keeper.read_once()
+    await keeper.read_once()
     clock.advance(SETTLE_SECONDS)
-    await keeper.step()
-    await keeper.step()
+    await keeper.read_once()
+    await keeper.read_once()
     assert usable(keeper) == {ENDPOINT.endpoint, OTHER.endpoint}
 
 
@@ -142,8 +142,8 @@
     keeper = await start_keeper(feed, ManualClock())
     feed.restore(ENDPOINT, version=3)
     feed.batches = [HistoryLostError('no history')]
-    await keeper.step()
-    await keeper.step()
+    await keeper.read_once()
+    await keeper.read_once()
     assert keeper.version == NEWER_VERSION
 
 
@@ -154,7 +154,7 @@
     feed.restore(ENDPOINT, OTHER)
     feed.batches = [PlatformError('no answer'), PlatformError('no answer')]
     for _ in range(6):
-        await keeper.step()
+        await keeper.read_once()
     assert usable(keeper) == {ENDPOINT.endpoint, OTHER.endpoint}
     assert feed.snapshot_count == 2
 
@@ -171,5 +171,5 @@
     feed.batches = [ChangeBatch(Revision(11)), ChangeBatch(Revision(12))]
     keeper = await start_keeper(feed, ManualClock())
     for _ in range(3):
-        await keeper.step()
+        await keeper.read_once()
     assert feed.snapshot_count == 1
