--- a/packages/sycamore-core/src/sycamore_core/platform/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Reading of what the platform publishes: settings and instances."""
+"""Readers of the settings and the instance list that the platform publishes."""
 
 from .accepted import (
     MAX_SETTINGS_BYTES,
@@ -15,9 +15,9 @@
     PlatformHttp,
 )
 from .keeper import SettingsKeeper, ZoneMember
-from .pace import ReadPace
 from .peers import NoPeers, SeedPeers, SettingsPeers
 from .readers import is_reader, rank_in_zone
+from .schedule import ReadSchedule
 from .sources import (
     InstanceEntry,
     InstanceSource,
@@ -37,7 +37,7 @@
     'NoPeers',
     'PlatformHttp',
     'PublishedSettings',
-    'ReadPace',
+    'ReadSchedule',
     'RefusedTree',
     'SeedPeers',
     'SettingsClaim',
--- a/packages/sycamore-core/src/sycamore_core/platform/accepted.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/accepted.py
@@ -1,15 +1,14 @@
-"""The settings tree in force in one process, which never goes back.
+"""The settings tree in force in one process, which never reverts.
 
 Trees are ordered by version, and trees of one version by a digest of their
-content. A process holds the highest valid one that it was ever offered, by the
-platform or by a peer, in any order. Since the highest of a set does not depend
-on the order in which its members come, all processes that were offered the
-same trees hold the same one, also where two operators have published different
-trees under one number.
-
-What this cannot promise: a process keeps nothing over a restart. If all
-processes that hold a version are gone while the platform serves an older one,
-the next ones to start take the older one into force.
+content. A process holds the highest valid tree that the platform or a peer
+has offered since the process started. The maximum does not depend on the order
+of arrival, so all processes that were offered the same trees hold the same
+one, even if two operators have published different trees under one number.
+
+Limitation: a process stores no settings across a restart. If all processes
+that hold a version end while the platform serves an older version, processes
+that start afterwards accept the older version.
 """
 
 import hashlib
@@ -23,10 +22,10 @@
 from ..states import SettingsVerdict
 from .sources import PublishedSettings
 
-#: Largest value that the platform's settings service holds, in bytes.
+#: Largest tree that the platform's settings service stores, in bytes.
 MAX_SETTINGS_BYTES = 1_048_576
-#: 63 bits fit every integer type on the wire; two trees of one version agree
-#: in them by chance once in 2**63 races.
+#: 63 bits fit every integer type on the wire. The digests of two trees of one
+#: version collide with a probability of 2**-63.
 _DIGEST_BYTES = 8
 _DIGEST_BITS = 63
 
@@ -44,7 +43,7 @@
 
 
 class TreeRank(msgspec.Struct, frozen=True, order=True):
-    """Position of a tree among all; the higher one is in force."""
+    """Position of a tree in the order of all trees; the highest is in force."""
 
     version: SettingsVersion
     digest: int
@@ -55,31 +54,32 @@
         return cls(published.version, digest_of(published.body))
 
 
-#: Below every published tree, whose versions start at 1.
-NOTHING_HELD = TreeRank(SettingsVersion(0), 0)
+#: Rank if there is no tree. Versions of published trees start at 1.
+NO_TREE = TreeRank(SettingsVersion(0), 0)
 
 
-#: Verdict on a lower tree, by whether its version is that of the one in force.
-_KEPT = types.MappingProxyType(
+#: Verdict on a tree of lower rank; the key tells whether its version equals
+#: the version in force.
+_LOWER_TREE_VERDICTS = types.MappingProxyType(
     {False: SettingsVerdict.OLDER, True: SettingsVerdict.CONFLICT},
 )
 
 
 class RefusedTree(msgspec.Struct, frozen=True):
-    """The last tree that could not be used, and why."""
+    """A tree that was refused as invalid, and the reason."""
 
     rank: TreeRank
     reason: str
 
 
 class AcceptedSettings:
-    """Holds the highest valid tree that was offered.
+    """Holds the highest valid tree offered so far.
 
     Attributes
     ----------
     rank, published, fleet
-        The tree in force: its position, its bytes and what they resolve to;
-        `published` and `fleet` are None before the first one.
+        The tree in force: its rank, its published form and its resolved
+        form. `published` and `fleet` are None before the first tree.
     refused
         The last tree that was refused as invalid.
 
@@ -94,26 +94,26 @@
     """
 
     def __init__(self) -> None:
-        self.rank = NOTHING_HELD
+        self.rank = NO_TREE
         self.published: PublishedSettings | None = None
         self.fleet: FleetSettings | None = None
         self.refused: RefusedTree | None = None
 
     @property
     def version(self) -> SettingsVersion:
-        """Return the version in force, 0 before the first."""
+        """Return the version in force; 0 before the first is accepted."""
         return self.rank.version
 
     def offer(self, published: PublishedSettings) -> SettingsVerdict:
-        """Take a tree into force if it is valid and above the one held."""
+        """Put a tree into force if it is valid and of higher rank."""
         rank = TreeRank.from_published(published)
         if rank == self.rank:
             return SettingsVerdict.KNOWN
         if rank < self.rank:
             same_version = rank.version == self.rank.version
-            return _KEPT[same_version]
+            return _LOWER_TREE_VERDICTS[same_version]
         try:
-            fleet = _checked(published)
+            fleet = _resolve_checked(published)
         except SettingsError as error:
             self.refused = RefusedTree(rank, str(error))
             return SettingsVerdict.INVALID
@@ -123,7 +123,7 @@
         return SettingsVerdict.ACCEPTED
 
 
-def _checked(published: PublishedSettings) -> FleetSettings:
+def _resolve_checked(published: PublishedSettings) -> FleetSettings:
     size = len(published.body)
     if size > MAX_SETTINGS_BYTES:
         raise SettingsError(
@@ -131,8 +131,8 @@
         )
     fleet = resolve_tree(published.body)
     if fleet.version != published.version:
-        # If the two could differ, a peer and the platform would name the same
-        # tree by different numbers, and each watch would return it again.
+        # If the two numbers could differ, a peer and the platform would give
+        # one tree different versions, and each watch would return it again.
         raise SettingsError(
             f'version: {fleet.version}; {published.version} is accepted, '
             'the number under which the tree is published',
--- a/packages/sycamore-core/src/sycamore_core/platform/bodies.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/bodies.py
@@ -1,7 +1,7 @@
-"""Settings trees on their way between peers.
+"""Encoding of settings trees for messages between peers.
 
-A whole tree goes to each process with each change; compressed, it is about a
-quarter of its size.
+Each change sends a full tree to each process. Compression reduces a tree to
+about a quarter of its size.
 """
 
 import zlib
@@ -12,7 +12,7 @@
 from .accepted import MAX_SETTINGS_BYTES
 from .sources import PublishedSettings
 
-#: What a process answers that has no settings yet.
+#: Answer of a process that has no settings yet.
 NO_SETTINGS = SettingsBody(version=0, body=b'')
 
 
@@ -31,7 +31,7 @@
     Raises
     ------
     PlatformError
-        If it cannot be decompressed, or is larger than any tree.
+        If the body cannot be decompressed or exceeds the size limit.
 
     Examples
     --------
--- a/packages/sycamore-core/src/sycamore_core/platform/claims.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/claims.py
@@ -1,4 +1,4 @@
-"""What a process says of its settings to its peers in heartbeats."""
+"""The state of its settings that a process sends to its peers."""
 
 import msgspec
 
@@ -8,15 +8,15 @@
 
 
 class SettingsClaim(msgspec.Struct, frozen=True):
-    """The tree in force in a process, and how old its view is.
+    """The tree in force in a process and the age of its view.
 
     Attributes
     ----------
     rank
         Position of the tree in force.
     age
-        Time since the platform confirmed the tree, in seconds, directly or
-        through others; negative if it never did.
+        Time since the platform confirmed the tree, directly or through
+        peers, in seconds; negative if it was never confirmed.
     """
 
     rank: TreeRank
@@ -24,7 +24,7 @@
 
     @classmethod
     def from_message(cls, message: Heartbeat | LoadReport) -> 'SettingsClaim':
-        """Return what a heartbeat or load report claims."""
+        """Return the claim in a heartbeat or load report."""
         rank = TreeRank(
             SettingsVersion(message.settings_version),
             message.settings_digest,
--- a/packages/sycamore-core/src/sycamore_core/platform/http_sources.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/http_sources.py
@@ -1,4 +1,4 @@
-"""Readers of the platform's services by HTTP."""
+"""HTTP clients of the platform's services."""
 
 from collections.abc import Sequence
 
@@ -16,11 +16,11 @@
     SettingsSource,
 )
 
-#: The platform answers in milliseconds; two seconds without a connection mean
-#: that it is down or cut off.
-CONNECT_SECONDS = 2.0
-#: Time given to an answer beyond the time for which it was asked to wait.
-ANSWER_SECONDS = 5.0
+#: Connect timeout, in seconds. The platform answers in milliseconds; after two
+#: seconds without a connection it is down or unreachable.
+CONNECT_TIMEOUT_SECONDS = 2.0
+#: Time allowed for a response beyond the requested wait, in seconds.
+RESPONSE_TIMEOUT_SECONDS = 5.0
 _VERSION_HEADER = 'Settings-Version'
 _HTTP_OK = 200
 _HTTP_NOT_MODIFIED = 304
@@ -33,46 +33,47 @@
     ----------
     base_url
         Such as ``http://10.0.0.1:8080``.
-    answer_seconds
-        Time given to an answer beyond the time for which it was asked to
-        wait.
+    response_timeout
+        Time allowed for a response beyond the requested wait, in seconds.
     """
 
     def __init__(
         self,
         base_url: str,
-        answer_seconds: float = ANSWER_SECONDS,
+        response_timeout: float = RESPONSE_TIMEOUT_SECONDS,
     ) -> None:
         self.base_url = base_url.rstrip('/')
-        self.answer_seconds = answer_seconds
+        self.response_timeout = response_timeout
         self._client = CurlAsyncHTTPClient(force_instance=True)
 
     async def get(self, path: str, wait_seconds: float = 0) -> HTTPResponse:
-        """Return the answer to a call, whatever its status is.
+        """Return the response to a GET call, whatever its status.
 
         Raises
         ------
         PlatformError
-            If no answer came.
+            If there is no response.
         """
         url = f'{self.base_url}{path}'
         try:
             return await self._client.fetch(
                 url,
                 raise_error=False,
-                connect_timeout=min(CONNECT_SECONDS, self.answer_seconds),
-                request_timeout=wait_seconds + self.answer_seconds,
+                connect_timeout=min(
+                    CONNECT_TIMEOUT_SECONDS, self.response_timeout
+                ),
+                request_timeout=wait_seconds + self.response_timeout,
             )
         except (HTTPClientError, OSError, ValueError) as error:
             raise PlatformError(f'GET {url}: {error}') from error
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         self._client.close()
 
 
 class HttpSettingsSource(SettingsSource):
-    """Reads and watches the settings service by HTTP.
+    """Reads and watches the settings service over HTTP.
 
     Parameters
     ----------
@@ -98,15 +99,15 @@
             return None
         if response.code != _HTTP_OK:
             raise PlatformError(f'settings service: status {response.code}')
-        return PublishedSettings(_version_of(response), response.body)
+        return PublishedSettings(_read_version(response), response.body)
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         self._http.close()
 
 
 class HttpInstanceSource(InstanceSource):
-    """Reads the list of live and leaving instances by HTTP.
+    """Reads the list of live and leaving instances over HTTP.
 
     Parameters
     ----------
@@ -119,7 +120,7 @@
         self._decoder = msgspec.json.Decoder(tuple[InstanceEntry, ...])
 
     async def read(self) -> Sequence[InstanceEntry]:
-        """Return the list as the platform has it now."""
+        """Return the current list."""
         response = await self._http.get('/v1/instances')
         if response.code != _HTTP_OK:
             raise PlatformError(f'list of instances: status {response.code}')
@@ -129,11 +130,11 @@
             raise PlatformError(f'list of instances: {error}') from error
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         self._http.close()
 
 
-def _version_of(response: HTTPResponse) -> SettingsVersion:
+def _read_version(response: HTTPResponse) -> SettingsVersion:
     text = response.headers.get(_VERSION_HEADER, '')
     try:
         return SettingsVersion(int(text))
--- a/packages/sycamore-core/src/sycamore_core/platform/keeper.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the settings of one process up to date, from platform and peers."""
+"""Updates of the settings of one process, from the platform and from peers."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,37 +20,38 @@
 from .bodies import unpack
 from .claims import SettingsClaim
 from .http_sources import HttpSettingsSource
-from .pace import ReadPace
 from .peers import NoPeers, SettingsPeers
 from .readers import is_reader, rank_in_zone
+from .schedule import ReadSchedule
 from .sources import SettingsSource
 from .view import SettingsView
-from .watch import PlatformWatch
+from .watcher import SettingsWatcher
 
-#: A starting process waits this long for the peers that it asked, in seconds.
-#: A live peer answers in milliseconds; a dead one must not hold up the start.
-SEED_SECONDS = 2.0
-#: Time between questions to seed peers that have not answered, in seconds.
-_ASK_SECONDS = 0.25
-#: How often a process that does not read looks whether it has to, in seconds.
-_CHECK_SECONDS = 0.5
+#: Time for which a starting process waits for its seed peers, in seconds.
+#: A live peer answers in milliseconds; a dead peer must not block the start.
+SEED_TIMEOUT_SECONDS = 2.0
+#: Time between requests to seed peers that have not answered, in seconds.
+_SEED_REQUEST_SECONDS = 0.25
+#: Interval at which a process that is not a reader checks whether it has to
+#: become one, in seconds.
+_READER_CHECK_SECONDS = 0.5
 
 Listener = Callable[[FleetSettings], None]
 
 
 class ZoneMember(msgspec.Struct, frozen=True):
-    """The process as one of its zone."""
+    """The name and the zone of this process."""
 
     name: str
     zone: ZoneId
 
 
 class SettingsKeeper:
-    """Holds the settings in force and brings in newer ones.
+    """Holds the settings in force and applies newer ones.
 
-    One task (`run`) reads the platform; `offer_from_peer` takes what peers
-    send. Whatever comes, the settings in force never go back, see
-    `AcceptedSettings`.
+    One task (`run`) reads the platform; `offer_from_peer` receives the
+    settings that peers send. The settings in force never revert to an older
+    tree, see `AcceptedSettings`.
 
     Parameters
     ----------
@@ -61,11 +62,11 @@
     clock
         Source of time.
     metrics
-        Counts reads, verdicts, version and age.
+        Counts reads and verdicts; records version and age.
     peers
-        Peers to ask at the start.
-    pace
-        Times between reads.
+        Seed peers from which settings are requested at the start.
+    schedule
+        Intervals between reads.
     """
 
     def __init__(
@@ -75,17 +76,19 @@
         clock: Clock,
         metrics: Metrics,
         peers: SettingsPeers | None = None,
-        pace: ReadPace | None = None,
+        schedule: ReadSchedule | None = None,
     ) -> None:
         self.member = member
         self.clock = clock
         self.metrics = metrics
         self.peers = peers or NoPeers()
         self.view = SettingsView()
-        self.watch = PlatformWatch(source, clock, metrics, pace or ReadPace())
+        self.watcher = SettingsWatcher(
+            source, clock, metrics, schedule or ReadSchedule()
+        )
         self.listeners: list[Listener] = []
         self.log = Log('settings')
-        self._unanswered = set(self.peers.addresses)
+        self._pending_seeds = set(self.peers.addresses)
         self._changed = asyncio.Event()
         metrics.watch(Gauge.SETTINGS_AGE, lambda: self.age)
 
@@ -96,7 +99,7 @@
         metrics: Metrics,
         peers: SettingsPeers | None = None,
     ) -> Self:
-        """Return the keeper of a process that reads the platform by HTTP."""
+        """Return the keeper of a process that reads the platform over HTTP."""
         return cls(
             ZoneMember(settings.name, settings.zone),
             HttpSettingsSource(settings.settings_url),
@@ -107,41 +110,41 @@
 
     @property
     def fleet(self) -> FleetSettings | None:
-        """Return the settings in force, None before the first."""
+        """Return the settings in force; None before the first are accepted."""
         return self.view.accepted.fleet
 
     @property
     def version(self) -> SettingsVersion:
-        """Return the version in force, 0 before the first."""
+        """Return the version in force; 0 before the first is accepted."""
         return self.view.accepted.version
 
     @property
     def body(self) -> SettingsBody:
-        """Return the tree in force as a message; version 0 for none yet."""
+        """Return the tree in force as a message; version 0 if there is none."""
         return self.view.body
 
     @property
     def age(self) -> float:
-        """Return the seconds since the last confirmation; may be infinite."""
+        """Return the seconds since the last confirmation, or infinity."""
         return self.clock.monotonic() - self.view.confirmed_at
 
     @property
     def claim(self) -> SettingsClaim:
-        """Return what to put into heartbeats and load reports."""
+        """Return the claim to send in heartbeats and load reports."""
         return self.view.claim(self.clock.monotonic())
 
     def listen(self, listener: Listener) -> None:
-        """Call `listener` with the settings in force and each newer one."""
+        """Call `listener` with the settings in force and with newer ones."""
         self.listeners.append(listener)
         if self.fleet is not None:
-            _tell(listener, self.fleet, self.log)
+            _notify(listener, self.fleet, self.log)
 
     def wanted_above(self, claim: SettingsClaim) -> SettingsWanted | None:
-        """Take a peer's claim; return the question to send it, if any."""
-        return self.view.hear(claim, self.clock.monotonic())
+        """Handle a peer's claim; return the request to send it, if any."""
+        return self.view.handle_claim(claim, self.clock.monotonic())
 
     def answer(self, wanted: SettingsWanted) -> SettingsBody | None:
-        """Return the answer to a peer's question, if there is one."""
+        """Return the answer to a peer's request, if there is one."""
         return self.view.answer(wanted)
 
     def offer_from_peer(
@@ -149,15 +152,15 @@
         offered: SettingsBody,
         address: str = '',
     ) -> SettingsVerdict:
-        """Take the settings of a peer.
+        """Apply the settings that a peer sent if they are newer and valid.
 
         Parameters
         ----------
         address
-            The peer's address, by which a starting process knows which of
+            The peer's address. A starting process uses it to tell which of
             its seed peers have answered.
         """
-        self._unanswered.discard(address)
+        self._pending_seeds.discard(address)
         self._changed.set()
         if offered.version <= 0:
             return SettingsVerdict.OLDER
@@ -168,31 +171,33 @@
             return SettingsVerdict.INVALID
         verdict = self.view.accepted.offer(published)
         if verdict is SettingsVerdict.ACCEPTED:
-            # The platform has not shown this tree yet: look whether it will.
-            self.watch.recheck_soon()
-        self._follow(verdict)
+            # The platform has not shown this tree yet; check whether it does.
+            self.watcher.request_recheck()
+        self._handle_verdict(verdict)
         return verdict
 
     async def wait_first(self, timeout_seconds: float) -> FleetSettings:
-        """Return the settings to start with.
+        """Return the settings with which the process starts.
 
-        They come from the platform or a peer, whichever has the higher
-        version; seed peers are given `SEED_SECONDS` to answer.
+        They come from the platform or from a peer, whichever has the higher
+        version. Seed peers have `SEED_TIMEOUT_SECONDS` to answer.
 
         Raises
         ------
         PlatformError
-            If nothing valid came in time.
+            If no valid settings arrive in time.
         """
         started = self.clock.monotonic()
         while True:
             waited = self.clock.monotonic() - started
-            settled = not self._unanswered or waited >= SEED_SECONDS
-            if settled and self.fleet is not None:
+            seeds_done = (
+                not self._pending_seeds or waited >= SEED_TIMEOUT_SECONDS
+            )
+            if seeds_done and self.fleet is not None:
                 return self.fleet
             if waited > timeout_seconds:
-                raise PlatformError(_why_nothing(self.view))
-            await self._ask_seeds()
+                raise PlatformError(_missing_settings_reason(self.view))
+            await self._request_from_seeds()
 
     async def run(self) -> None:
         """Read and watch the platform until cancelled."""
@@ -200,7 +205,7 @@
             if self._is_reader():
                 await self._read()
             else:
-                await asyncio.sleep(_CHECK_SECONDS)
+                await asyncio.sleep(_READER_CHECK_SECONDS)
 
     def _is_reader(self) -> bool:
         if self.fleet is None:
@@ -215,21 +220,21 @@
 
     async def _read(self) -> None:
         started = self.clock.monotonic()
-        published = await self.watch.read(self.view)
+        published = await self.watcher.read(self.view)
         if published is not None:
-            self._follow(self.view.take_from_platform(published, started))
-        await asyncio.sleep(self.watch.pause_after(started))
+            self._handle_verdict(self.view.apply_published(published, started))
+        await asyncio.sleep(self.watcher.seconds_to_next_read(started))
 
-    async def _ask_seeds(self) -> None:
-        self.peers.ask(self._unanswered, SettingsWanted(above=0))
+    async def _request_from_seeds(self) -> None:
+        self.peers.request(self._pending_seeds, SettingsWanted(above=0))
         self._changed.clear()
         try:
-            async with asyncio.timeout(_ASK_SECONDS):
+            async with asyncio.timeout(_SEED_REQUEST_SECONDS):
                 await self._changed.wait()
         except TimeoutError:
             return
 
-    def _follow(self, verdict: SettingsVerdict) -> None:
+    def _handle_verdict(self, verdict: SettingsVerdict) -> None:
         self.metrics.settings_offered(verdict)
         accepted = self.view.accepted
         if verdict is SettingsVerdict.INVALID and accepted.refused is not None:
@@ -242,28 +247,28 @@
         if verdict is SettingsVerdict.CONFLICT:
             self.log.error('settings_conflict', settings_version=self.version)
         if verdict is SettingsVerdict.ACCEPTED and accepted.fleet is not None:
-            self._announce(accepted.fleet)
+            self._notify_listeners(accepted.fleet)
 
-    def _announce(self, fleet: FleetSettings) -> None:
+    def _notify_listeners(self, fleet: FleetSettings) -> None:
         self.metrics.settings_version(fleet.version)
         self.log.info('settings_accepted', settings_version=fleet.version)
         self._changed.set()
         for listener in tuple(self.listeners):
-            _tell(listener, fleet, self.log)
+            _notify(listener, fleet, self.log)
 
 
-def _tell(listener: Listener, fleet: FleetSettings, log: Log) -> None:
+def _notify(listener: Listener, fleet: FleetSettings, log: Log) -> None:
     try:
         listener(fleet)
     except Exception as error:
-        # One part that fails to take new settings must neither stop the
-        # reading of the next ones nor keep them from the other parts.
+        # A listener that fails must neither stop later reads nor keep the
+        # settings from the other listeners.
         log.error('settings_listener_failed', reason=repr(error))
 
 
-def _why_nothing(view: SettingsView) -> str:
+def _missing_settings_reason(view: SettingsView) -> str:
     refused = view.accepted.refused
     if refused is None:
-        return 'no settings from the platform or a peer'
+        return 'no settings received from the platform or a peer'
     version = refused.rank.version
     return f'settings version {version} is refused: {refused.reason}'
--- a/packages/sycamore-core/src/sycamore_core/platform/peers.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/peers.py
@@ -1,4 +1,4 @@
-"""The peers that a starting process asks for settings."""
+"""Peers from which a starting process requests settings."""
 
 import abc
 from collections.abc import Iterable, Set
@@ -11,13 +11,13 @@
     """Other processes that may hold newer settings than the platform."""
 
     @abc.abstractmethod
-    def ask(self, addresses: Iterable[str], wanted: SettingsWanted) -> None:
-        """Send `wanted` to some of the peers; an answer may come or not."""
+    def request(self, addresses: Iterable[str], wanted: SettingsWanted) -> None:
+        """Send `wanted` to these peers; an answer is not guaranteed."""
 
     @property
     @abc.abstractmethod
     def addresses(self) -> Set[str]:
-        """Return the addresses known at the start of this process."""
+        """Return the peer addresses known when this process starts."""
 
 
 class SeedPeers(SettingsPeers):
@@ -36,8 +36,8 @@
         own = node.address.advertise
         self._addresses = frozenset(addresses) - {own}
 
-    def ask(self, addresses: Iterable[str], wanted: SettingsWanted) -> None:
-        """Send `wanted` to some of the peers."""
+    def request(self, addresses: Iterable[str], wanted: SettingsWanted) -> None:
+        """Send `wanted` to these peers."""
         for address in addresses:
             self.node.peer(address).post(wanted)
 
@@ -48,9 +48,9 @@
 
 
 class NoPeers(SettingsPeers):
-    """For a process that knows no peer at its start."""
+    """An empty set of peers, for a process without seed peers."""
 
-    def ask(self, addresses: Iterable[str], wanted: SettingsWanted) -> None:
+    def request(self, addresses: Iterable[str], wanted: SettingsWanted) -> None:
         """Do nothing."""
 
     @property
--- a/packages/sycamore-core/src/sycamore_core/platform/sources.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/sources.py
@@ -1,4 +1,4 @@
-"""Interfaces of the platform's two services, both of which can only be read.
+"""Interfaces of the platform's two services, both of them read-only.
 
 The settings service: ``GET /v1/settings?above=N&wait=S`` answers 200 with the
 body and the header ``Settings-Version`` once a version above N is published,
@@ -23,14 +23,14 @@
 
 
 class InstanceState(enum.StrEnum):
-    """What the platform's list says of an instance."""
+    """State of an instance in the platform's list."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class InstanceEntry(msgspec.Struct, frozen=True):
-    """One row of the platform's list, which lags behind the truth."""
+    """One row of the platform's list, which lags behind the actual state."""
 
     instance: str
     address: str
@@ -51,7 +51,7 @@
         Raises
         ------
         PlatformError
-            If the service is down or answers nonsense.
+            If the service is down or its answer cannot be read.
         """
 
 
@@ -60,10 +60,10 @@
 
     @abc.abstractmethod
     async def read(self) -> Sequence[InstanceEntry]:
-        """Return the list as the platform has it now.
+        """Return the current list.
 
         Raises
         ------
         PlatformError
-            If the service is down or answers nonsense.
+            If the service is down or its answer cannot be read.
         """
--- a/packages/sycamore-core/src/sycamore_core/platform/tests/builders.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of published trees and stand-ins of the platform."""
+"""Builders of published trees and fakes of the platform."""
 
 import asyncio
 
@@ -8,21 +8,21 @@
 from ...telemetry import Metrics
 from .. import (
     PublishedSettings,
-    ReadPace,
+    ReadSchedule,
     SettingsKeeper,
     SettingsPeers,
     SettingsSource,
     ZoneMember,
 )
 
-FAST = ReadPace(
-    wait=0.05,
-    interval=0.005,
-    recheck=0.1,
-    first_back_off=0.01,
-    longest_back_off=0.05,
+FAST_SCHEDULE = ReadSchedule(
+    watch_seconds=0.05,
+    min_interval_seconds=0.005,
+    recheck_seconds=0.1,
+    min_backoff_seconds=0.01,
+    max_backoff_seconds=0.05,
 )
-WAIT_SECONDS = 20
+TEST_TIMEOUT_SECONDS = 20
 
 
 def tree(version: int, name: str = 'test') -> PublishedSettings:
@@ -31,18 +31,18 @@
     return PublishedSettings(SettingsVersion(version), body)
 
 
-def invalid(version: int) -> PublishedSettings:
-    """Return a tree with a key that no process knows."""
+def invalid_tree(version: int) -> PublishedSettings:
+    """Return a tree with an unknown key, which is invalid."""
     body = f'{{version: {version}, name: "test", wieght: 1}}'.encode()
     return PublishedSettings(SettingsVersion(version), body)
 
 
 class FakeSource(SettingsSource):
-    """A settings service that returns what a test has put into it."""
+    """A settings service that returns the tree that a test has set."""
 
     def __init__(self, published: PublishedSettings | None = None) -> None:
         self.published = published
-        self.down = False
+        self.is_down = False
         self.reads = 0
 
     async def read_above(
@@ -51,7 +51,7 @@
         wait_seconds: float,
     ) -> PublishedSettings | None:
         self.reads += 1
-        if self.down:
+        if self.is_down:
             raise PlatformError('down')
         if self._is_above(version):
             return self.published
@@ -67,12 +67,12 @@
     peers: SettingsPeers | None = None,
     clock: Clock | None = None,
 ) -> SettingsKeeper:
-    """Return a keeper that reads often."""
+    """Return a keeper with short read intervals."""
     return SettingsKeeper(
         ZoneMember('endpoint-1', ZoneId('a')),
         source,
         clock or SystemClock(),
         Metrics('test'),
         peers,
-        FAST,
+        FAST_SCHEDULE,
     )
--- a/packages/sycamore-core/src/sycamore_core/platform/tests/test_accepted.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/tests/test_accepted.py
@@ -1,4 +1,4 @@
-"""Tests of the order of settings trees."""
+"""Tests of the order in which settings trees replace each other."""
 
 import pytest
 from hypothesis import settings
@@ -13,16 +13,16 @@
 from ...ids import SettingsVersion
 from ...states import SettingsVerdict
 from .. import MAX_SETTINGS_BYTES, AcceptedSettings, PublishedSettings, TreeRank
-from ..accepted import NOTHING_HELD
-from .builders import invalid, tree
+from ..accepted import NO_TREE
+from .builders import invalid_tree, tree
 
 PROCESSES = 3
 
 
-def test_older_tree_is_not_taken() -> None:
-    """The settings service comes back with a copy from last week.
+def test_older_tree_is_not_accepted() -> None:
+    """The settings service returns with an outdated copy.
 
-    Processes that took it would admit workspaces that were closed since.
+    A process that accepted the copy would admit workspaces closed since.
     """
     accepted = AcceptedSettings()
     accepted.offer(tree(5))
@@ -30,14 +30,14 @@
     assert accepted.version == 5
 
 
-def test_invalid_tree_leaves_the_last_good_one() -> None:
+def test_invalid_tree_keeps_the_last_valid_one() -> None:
     """An operator publishes a tree with a misspelt key.
 
-    Every request would be refused if the tree in force were dropped for it.
+    Every request would be refused if the invalid tree replaced the valid one.
     """
     accepted = AcceptedSettings()
     accepted.offer(tree(5))
-    assert accepted.offer(invalid(6)) is SettingsVerdict.INVALID
+    assert accepted.offer(invalid_tree(6)) is SettingsVerdict.INVALID
     assert accepted.version == 5
     assert accepted.refused is not None
     assert 'wieght' in accepted.refused.reason
@@ -50,7 +50,7 @@
         (tree(8).body, '9 is accepted'),
     ],
 )
-def test_tree_unlike_its_publication_is_invalid(
+def test_oversized_or_misnumbered_tree_is_invalid(
     body: bytes,
     reason: str,
 ) -> None:
@@ -61,12 +61,11 @@
     assert reason in accepted.refused.reason
 
 
-def test_two_trees_of_one_version_end_the_same_everywhere() -> None:
-    """Two operators publish version 7 at the same moment.
+def test_two_trees_of_one_version_converge() -> None:
+    """Two operators publish different trees as version 7 at the same time.
 
-    One half of the fleet reads the one tree and the other half the other. A
-    workspace would be admitted by every second entry for as long as nobody
-    publishes version 8.
+    Each tree reaches one half of the fleet. If the halves kept different trees,
+    only every second entry would admit a workspace until version 8 is out.
     """
     first, second = AcceptedSettings(), AcceptedSettings()
     for published in (tree(7, 'left'), tree(7, 'right')):
@@ -79,10 +78,10 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Processes that read a platform with any past state, and each other.
+    """Processes that read any past state of the platform, and each other.
 
-    The model is a plain maximum over the valid trees that each process was
-    offered since its start.
+    The model is the maximum of the valid trees that each process was offered
+    since its start.
     """
 
     published = Bundle('published')
@@ -90,8 +89,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.processes = [AcceptedSettings() for _ in range(PROCESSES)]
-        self.expected = [NOTHING_HELD for _ in range(PROCESSES)]
-        self.highest = [NOTHING_HELD for _ in range(PROCESSES)]
+        self.expected = [NO_TREE for _ in range(PROCESSES)]
+        self.highest = [NO_TREE for _ in range(PROCESSES)]
 
     @rule(
         target=published,
@@ -103,7 +102,7 @@
 
     @rule(target=published, version=st.integers(1, 6))
     def publish_invalid(self, version: int) -> PublishedSettings:
-        return invalid(version)
+        return invalid_tree(version)
 
     @rule(process=st.integers(0, PROCESSES - 1), state=published)
     def read_any_past_state(
@@ -123,26 +122,26 @@
 
     @rule(
         source=st.integers(0, PROCESSES - 1),
-        listener=st.integers(0, PROCESSES - 1),
+        receiver=st.integers(0, PROCESSES - 1),
     )
-    def hear_from_peer(self, source: int, listener: int) -> None:
+    def receive_from_peer(self, source: int, receiver: int) -> None:
         published = self.processes[source].published
         if published is not None:
-            self.read(listener, published)
+            self.read(receiver, published)
 
     @rule(process=st.integers(0, PROCESSES - 1))
     def restart(self, process: int) -> None:
         self.processes[process] = AcceptedSettings()
-        self.expected[process] = NOTHING_HELD
-        self.highest[process] = NOTHING_HELD
+        self.expected[process] = NO_TREE
+        self.highest[process] = NO_TREE
 
     @invariant()
     def highest_valid_tree_is_in_force(self) -> None:
-        held = [process.rank for process in self.processes]
-        assert held == self.expected
+        ranks = [process.rank for process in self.processes]
+        assert ranks == self.expected
 
     @invariant()
-    def nothing_goes_back_while_running(self) -> None:
+    def no_rank_decreases_while_running(self) -> None:
         for index, process in enumerate(self.processes):
             assert process.rank >= self.highest[index]
             self.highest[index] = process.rank
--- a/packages/sycamore-core/src/sycamore_core/platform/tests/test_bodies.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Tests of settings on their way between peers."""
+"""Tests of settings in messages between peers."""
 
 import zlib
 
@@ -13,7 +13,7 @@
 from .builders import FakeSource, make_keeper, tree
 
 
-def test_tree_of_any_allowed_size_arrives_as_it_was_sent() -> None:
+def test_largest_allowed_tree_survives_a_round_trip() -> None:
     body = bytes(number % 256 for number in range(MAX_SETTINGS_BYTES))
     published = PublishedSettings(SettingsVersion(4), body)
     packed = pack(published)
@@ -35,9 +35,10 @@
     ],
 )
 def test_unreadable_settings_of_a_peer_change_nothing(body: bytes) -> None:
-    """A peer sends settings that are damaged or would fill the memory.
+    """A peer sends settings that are corrupt or exceed the size limit.
 
-    The task of that peer would end, and nothing of it would be heard again.
+    An unhandled error would end the task that receives from that peer, and all
+    its later messages would be lost.
     """
     message = SettingsBody(9, body, compressed=True)
     with pytest.raises(PlatformError):
--- a/packages/sycamore-core/src/sycamore_core/platform/tests/test_convergence.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/tests/test_convergence.py
@@ -1,4 +1,4 @@
-"""Test of several processes that read one platform and hear each other."""
+"""Tests of processes that read one platform and exchange settings."""
 
 import asyncio
 
@@ -15,20 +15,20 @@
 from ...errors import PlatformError
 from ...ids import SettingsVersion
 from ...telemetry import Metrics
-from .. import PublishedSettings, ReadPace, SettingsSource, TreeRank
-from ..accepted import NOTHING_HELD
+from .. import PublishedSettings, ReadSchedule, SettingsSource, TreeRank
+from ..accepted import NO_TREE
 from ..bodies import unpack
 from ..view import SettingsView
-from ..watch import PlatformWatch
-from .builders import invalid, tree
+from ..watcher import SettingsWatcher
+from .builders import invalid_tree, tree
 
 PROCESSES = 3
-PACE = ReadPace(wait=5, recheck=60)
+SCHEDULE = ReadSchedule(watch_seconds=5, recheck_seconds=60)
 METRICS = Metrics('test')
 
 
 class Platform(SettingsSource):
-    """Shows any state that was ever published, or nothing at all."""
+    """Shows any state that was ever published, or is down."""
 
     def __init__(self) -> None:
         self.published: list[PublishedSettings] = []
@@ -52,31 +52,31 @@
 
 
 class Process:
-    """The view of one process and its reads, without its tasks."""
+    """The view and the reads of one process, without its tasks."""
 
     def __init__(self, platform: Platform, clock: ManualClock) -> None:
         self.view = SettingsView()
         self.clock = clock
-        self.watch = PlatformWatch(platform, clock, METRICS, PACE)
-        self.highest = NOTHING_HELD
+        self.watcher = SettingsWatcher(platform, clock, METRICS, SCHEDULE)
+        self.highest = NO_TREE
 
     def read(self) -> None:
         started = self.clock.monotonic()
-        published = asyncio.run(self.watch.read(self.view))
+        published = asyncio.run(self.watcher.read(self.view))
         if published is not None:
-            self.view.take_from_platform(published, started)
+            self.view.apply_published(published, started)
 
-    def hear(self, other: 'Process') -> None:
+    def receive_from(self, other: 'Process') -> None:
         now = self.clock.monotonic()
-        wanted = self.view.hear(other.view.claim(now), now)
+        wanted = self.view.handle_claim(other.view.claim(now), now)
         answer = other.view.answer(wanted) if wanted else None
         if answer is not None:
             self.view.accepted.offer(unpack(answer))
-            self.watch.recheck_soon()
+            self.watcher.request_recheck()
 
 
 class Deployment(RuleBasedStateMachine):
-    """Operators publish, the platform misbehaves, processes come and go."""
+    """Operators publish, the platform misbehaves and processes restart."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -104,7 +104,7 @@
 
     @rule()
     def publish_invalid(self) -> None:
-        self.publish(invalid(self.next_version()))
+        self.publish(invalid_tree(self.next_version()))
 
     @rule(operator=st.sampled_from(['left', 'right']))
     def publish_same_number_again(self, operator: str) -> None:
@@ -128,18 +128,18 @@
         self.processes[index].read()
 
     @rule(
-        listener=st.integers(0, PROCESSES - 1),
-        speaker=st.integers(0, PROCESSES - 1),
+        receiver=st.integers(0, PROCESSES - 1),
+        sender=st.integers(0, PROCESSES - 1),
     )
-    def hear(self, listener: int, speaker: int) -> None:
-        self.processes[listener].hear(self.processes[speaker])
+    def receive_from_peer(self, receiver: int, sender: int) -> None:
+        self.processes[receiver].receive_from(self.processes[sender])
 
     @rule(index=st.integers(0, PROCESSES - 1))
     def restart(self, index: int) -> None:
         self.processes[index] = self.start()
 
     @invariant()
-    def nothing_goes_back(self) -> None:
+    def no_rank_decreases(self) -> None:
         for process in self.processes:
             rank = process.view.accepted.rank
             assert rank >= process.highest
@@ -151,25 +151,25 @@
             assert process.view.confirmed_at <= self.clock.monotonic()
 
     def teardown(self) -> None:
-        """All heals: the fleet ends on one tree, the highest one known."""
+        """Check that a recovered fleet converges on the highest known tree."""
         if not self.platform.published:
             return
         self.platform.is_down = False
         self.platform.shown = self.platform.published[-1]
         known = [process.view.accepted.rank for process in self.processes]
         for _ in range(2):
-            self.clock.advance(PACE.recheck)
+            self.clock.advance(SCHEDULE.recheck_seconds)
             self.processes[0].read()
         for _ in range(PROCESSES):
-            for listener in self.processes:
-                for speaker in self.processes:
-                    listener.hear(speaker)
-        ends = {process.view.accepted.rank for process in self.processes}
-        assert len(ends) == 1
+            for receiver in self.processes:
+                for sender in self.processes:
+                    receiver.receive_from(sender)
+        final_ranks = {process.view.accepted.rank for process in self.processes}
+        assert len(final_ranks) == 1
         shown = TreeRank.from_published(self.platform.shown)
         is_invalid = b'wieght' in self.platform.shown.body
         expected = known if is_invalid else [*known, shown]
-        assert ends == {max(expected)}
+        assert final_ranks == {max(expected)}
 
 
 TestDeployment = Deployment.TestCase
--- a/packages/sycamore-core/src/sycamore_core/platform/tests/test_http_sources.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/tests/test_http_sources.py
@@ -1,4 +1,4 @@
-"""Tests of the readers over HTTP against a small server."""
+"""Tests of the HTTP clients against a local server."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -24,7 +24,7 @@
 
 
 class SettingsHandler(RequestHandler):
-    """Answers as the settings service does."""
+    """Answers like the settings service."""
 
     def get(self) -> None:
         if int(self.get_argument('above')) >= PUBLISHED_VERSION:
@@ -35,14 +35,14 @@
 
 
 class InstancesHandler(RequestHandler):
-    """Answers as the list of instances does."""
+    """Answers like the list of instances."""
 
     def get(self) -> None:
         self.finish(b'[{"instance": "e", "address": "a", "state": "leaving"}]')
 
 
 class BrokenHandler(RequestHandler):
-    """Answers with something else."""
+    """Answers with an HTML page."""
 
     def get(self) -> None:
         self.finish(b'<html>')
@@ -73,7 +73,7 @@
     return await HttpSettingsSource(url).read_above(SettingsVersion(3), 0)
 
 
-async def read_nothing_newer(url: str) -> PublishedSettings | None:
+async def read_above_latest(url: str) -> PublishedSettings | None:
     return await HttpSettingsSource(url).read_above(SettingsVersion(4), 0)
 
 
@@ -84,7 +84,7 @@
 def test_settings_are_read() -> None:
     published = read_from('', read_settings)
     assert published == PublishedSettings(SettingsVersion(4), b'{}')
-    assert read_from('', read_nothing_newer) is None
+    assert read_from('', read_above_latest) is None
 
 
 def test_instances_are_read() -> None:
@@ -94,18 +94,20 @@
 
 @pytest.mark.parametrize('read', [read_settings, read_instances])
 @pytest.mark.parametrize('prefix', ['/broken', '/missing'])
-def test_nonsense_is_an_error_of_the_platform(prefix: str, read: Read) -> None:
-    """Something else answers at the platform's address.
+def test_unreadable_response_raises_platform_error(
+    prefix: str, read: Read
+) -> None:
+    """Another server answers at the platform's address.
 
-    Its page would be taken for settings, or its error would end the task
-    that reads them.
+    Its page would be accepted as settings, or the error would end the task
+    that reads the settings.
     """
     with pytest.raises(PlatformError):
         read_from(prefix, read)
 
 
 @pytest.mark.parametrize('read', [read_settings, read_instances])
-def test_platform_that_is_down_is_an_error_of_the_platform(read: Read) -> None:
+def test_unreachable_platform_raises_platform_error(read: Read) -> None:
     listening, port = bind_unused_port()
     listening.close()
     with pytest.raises(PlatformError):
--- a/packages/sycamore-core/src/sycamore_core/platform/tests/test_keeper.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/tests/test_keeper.py
@@ -1,4 +1,4 @@
-"""Tests of the keeper of the settings of one process."""
+"""Tests of `SettingsKeeper`."""
 
 import asyncio
 import contextlib
@@ -12,11 +12,17 @@
 from ...states import SettingsVerdict
 from .. import SettingsClaim, SettingsKeeper, SettingsPeers
 from ..accepted import TreeRank
-from .builders import WAIT_SECONDS, FakeSource, invalid, make_keeper, tree
+from .builders import (
+    TEST_TIMEOUT_SECONDS,
+    FakeSource,
+    invalid_tree,
+    make_keeper,
+    tree,
+)
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(WAIT_SECONDS):
+async def wait_until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.005)
 
@@ -36,14 +42,14 @@
 
 
 class FakePeers(SettingsPeers):
-    """Seed peers that answer when a test says so."""
+    """Seed peers that record the requests sent to them."""
 
     def __init__(self, addresses: Set[str]) -> None:
         self._addresses = addresses
-        self.asked: list[str] = []
+        self.requested: list[str] = []
 
-    def ask(self, addresses: Iterable[str], wanted: SettingsWanted) -> None:
-        self.asked.extend(addresses)
+    def request(self, addresses: Iterable[str], wanted: SettingsWanted) -> None:
+        self.requested.extend(addresses)
 
     @property
     def addresses(self) -> Set[str]:
@@ -56,9 +62,9 @@
     seen: list[int] = []
     keeper.listen(lambda fleet: seen.append(fleet.version))
     async with running(keeper):
-        await until(lambda: seen == [1])
+        await wait_until(lambda: seen == [1])
         source.published = tree(2)
-        await until(lambda: seen == [1, 2])
+        await wait_until(lambda: seen == [1, 2])
 
 
 def test_new_version_reaches_listeners() -> None:
@@ -72,16 +78,16 @@
     keeper.listen(lambda fleet: seen.append(1 // (fleet.version - 1)))
     keeper.listen(lambda fleet: seen.append(fleet.version))
     async with running(keeper):
-        await until(lambda: seen == [1])
+        await wait_until(lambda: seen == [1])
         source.published = tree(2)
-        await until(lambda: seen == [1, 1, 2])
+        await wait_until(lambda: seen == [1, 1, 2])
 
 
 def test_failing_listener_does_not_stop_the_others() -> None:
-    """One part of a process fails to take new settings.
+    """One listener raises an error for new settings.
 
-    The process would go on with old settings in all its other parts, and
-    would never read another version.
+    The other listeners would keep the old settings, and the process would
+    never read another version.
     """
     asyncio.run(failing_listener_does_not_stop_the_others())
 
@@ -90,121 +96,121 @@
     source = FakeSource(tree(5))
     keeper = make_keeper(source)
     async with running(keeper):
-        await until(lambda: keeper.version == 5)
-        source.down = True
+        await wait_until(lambda: keeper.version == 5)
+        source.is_down = True
         reads = source.reads
-        await until(lambda: source.reads > reads + 2)
+        await wait_until(lambda: source.reads > reads + 2)
         source.published = tree(3)
-        source.down = False
+        source.is_down = False
         reads = source.reads
-        await until(lambda: source.reads > reads + 5)
+        await wait_until(lambda: source.reads > reads + 5)
         assert keeper.version == 5
         confirmed = keeper.view.confirmed_at
         reads = source.reads
-        await until(lambda: source.reads > reads + 5)
+        await wait_until(lambda: source.reads > reads + 5)
         assert keeper.view.confirmed_at == confirmed
         source.published = tree(6)
-        await until(lambda: keeper.version == 6)
+        await wait_until(lambda: keeper.version == 6)
 
 
 def test_outage_then_stale_copy_changes_nothing() -> None:
-    """The settings service is down and comes back with an old copy.
+    """The settings service is down and returns with an old copy.
 
-    Workspaces closed since would be served again, and targets that were
-    raised would be promised as they were.
+    Workspaces closed since would be served again, and raised targets would
+    revert to their old values.
     """
     asyncio.run(outage_then_stale_copy_changes_nothing())
 
 
-async def invalid_version_is_mended_under_its_own_number() -> None:
+async def invalid_version_is_corrected_under_its_own_number() -> None:
     source = FakeSource(tree(1))
     keeper = make_keeper(source)
     async with running(keeper):
-        await until(lambda: keeper.version == 1)
-        source.published = invalid(2)
-        await until(lambda: keeper.view.accepted.refused is not None)
+        await wait_until(lambda: keeper.version == 1)
+        source.published = invalid_tree(2)
+        await wait_until(lambda: keeper.view.accepted.refused is not None)
         assert keeper.version == 1
         source.published = tree(2)
-        await until(lambda: keeper.version == 2)
+        await wait_until(lambda: keeper.version == 2)
 
 
-def test_invalid_version_is_mended_under_its_own_number() -> None:
-    """An operator publishes an invalid tree and mends it in place.
+def test_invalid_version_is_corrected_under_its_own_number() -> None:
+    """An operator publishes an invalid tree and corrects it in place.
 
-    A watch for versions above the refused one never returns the mended tree,
-    so that the change would never come into force.
+    A watch for versions above the refused one never returns the corrected
+    tree, so the change would never take effect.
     """
-    asyncio.run(invalid_version_is_mended_under_its_own_number())
+    asyncio.run(invalid_version_is_corrected_under_its_own_number())
 
 
-async def service_that_always_answers_is_not_read_in_a_loop() -> None:
-    source = FakeSource(invalid(9))
+async def immediate_responses_do_not_cause_a_read_loop() -> None:
+    source = FakeSource(invalid_tree(9))
     keeper = make_keeper(source)
     async with running(keeper):
-        await until(lambda: source.reads > 3)
+        await wait_until(lambda: source.reads > 3)
         assert keeper.view.platform_rank.version == 9
     assert keeper.fleet is None
 
 
-def test_service_that_always_answers_is_not_read_in_a_loop() -> None:
-    """The service answers each watch at once with an invalid tree.
+def test_immediate_responses_do_not_cause_a_read_loop() -> None:
+    """The service answers each watch immediately with an invalid tree.
 
-    Every process would read it as fast as it can, far above its rate.
+    Every process would read it in a tight loop, far above the rate limit.
     """
-    asyncio.run(service_that_always_answers_is_not_read_in_a_loop())
+    asyncio.run(immediate_responses_do_not_cause_a_read_loop())
 
 
-async def peer_settings_win_over_a_stale_platform_at_the_start() -> None:
+async def peer_settings_override_a_stale_platform_at_startup() -> None:
     peers = FakePeers({'tcp://127.0.0.1:1'})
     keeper = make_keeper(FakeSource(tree(3)), peers)
     async with running(keeper):
-        waiting = asyncio.create_task(keeper.wait_first(WAIT_SECONDS))
-        await until(lambda: keeper.version == 3 and bool(peers.asked))
+        waiting = asyncio.create_task(keeper.wait_first(TEST_TIMEOUT_SECONDS))
+        await wait_until(lambda: keeper.version == 3 and bool(peers.requested))
         assert not waiting.done()
         keeper.offer_from_peer(body_of(5), 'tcp://127.0.0.1:1')
         assert (await waiting).version == 5
 
 
-def test_peer_settings_win_over_a_stale_platform_at_the_start() -> None:
+def test_peer_settings_override_a_stale_platform_at_startup() -> None:
     """A process restarts while the platform serves an old copy.
 
-    It would serve on settings that its peers have long left behind.
+    It would use settings that its peers have long replaced.
     """
-    asyncio.run(peer_settings_win_over_a_stale_platform_at_the_start())
+    asyncio.run(peer_settings_override_a_stale_platform_at_startup())
 
 
-async def dead_seed_peer_does_not_hold_up_the_start() -> None:
+async def dead_seed_peer_does_not_block_startup() -> None:
     keeper = make_keeper(FakeSource(tree(3)), FakePeers({'tcp://127.0.0.1:1'}))
     async with running(keeper):
-        assert (await keeper.wait_first(WAIT_SECONDS)).version == 3
+        assert (await keeper.wait_first(TEST_TIMEOUT_SECONDS)).version == 3
 
 
-def test_dead_seed_peer_does_not_hold_up_the_start() -> None:
-    """The process at a seed address is gone for good.
+def test_dead_seed_peer_does_not_block_startup() -> None:
+    """The process at a seed address never answers.
 
-    A process that waited for it could never start.
+    Without a timeout, a process with this seed peer could never start.
     """
-    asyncio.run(dead_seed_peer_does_not_hold_up_the_start())
+    asyncio.run(dead_seed_peer_does_not_block_startup())
 
 
-async def peers_are_enough_while_the_platform_is_down() -> None:
+async def peer_settings_suffice_while_the_platform_is_down() -> None:
     source = FakeSource()
-    source.down = True
+    source.is_down = True
     keeper = make_keeper(source, FakePeers({'tcp://127.0.0.1:1'}))
     async with running(keeper):
         keeper.offer_from_peer(body_of(4), 'tcp://127.0.0.1:1')
-        assert (await keeper.wait_first(WAIT_SECONDS)).version == 4
+        assert (await keeper.wait_first(TEST_TIMEOUT_SECONDS)).version == 4
         assert keeper.age == float('inf')
 
 
-def test_peers_are_enough_while_the_platform_is_down() -> None:
-    asyncio.run(peers_are_enough_while_the_platform_is_down())
+def test_peer_settings_suffice_while_the_platform_is_down() -> None:
+    asyncio.run(peer_settings_suffice_while_the_platform_is_down())
 
 
 async def start_without_settings_fails_with_the_reason() -> None:
-    keeper = make_keeper(FakeSource(invalid(1)))
+    keeper = make_keeper(FakeSource(invalid_tree(1)))
     async with running(keeper):
-        await until(lambda: keeper.view.accepted.refused is not None)
+        await wait_until(lambda: keeper.view.accepted.refused is not None)
         with pytest.raises(PlatformError, match='wieght'):
             await keeper.wait_first(0)
 
@@ -213,19 +219,20 @@
     asyncio.run(start_without_settings_fails_with_the_reason())
 
 
-def test_peers_tell_each_other_apart_by_digest() -> None:
+def test_trees_of_one_version_are_compared_by_digest() -> None:
     """Two halves of the fleet hold different trees of one version.
 
-    The number alone does not tell them apart, and neither half would ask.
+    With the version alone the trees look equal, and neither half would request
+    the other tree.
     """
     left, right = make_keeper(FakeSource()), make_keeper(FakeSource())
     left.offer_from_peer(body_of(7, 'left'))
     right.offer_from_peer(body_of(7, 'right'))
-    for asking, asked in ((left, right), (right, left)):
-        wanted = asking.wanted_above(asked.claim)
-        answer = asked.answer(wanted) if wanted else None
+    for receiver, sender in ((left, right), (right, left)):
+        wanted = receiver.wanted_above(sender.claim)
+        answer = sender.answer(wanted) if wanted else None
         if answer is not None:
-            asking.offer_from_peer(answer)
+            receiver.offer_from_peer(answer)
     assert left.view.accepted.rank == right.view.accepted.rank
 
 
--- a/packages/sycamore-core/src/sycamore_core/platform/tests/test_readers.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/tests/test_readers.py
@@ -1,4 +1,4 @@
-"""Tests of who reads the settings service."""
+"""Tests of the selection of readers of the settings service."""
 
 import pytest
 
@@ -25,17 +25,17 @@
 
 
 @pytest.mark.parametrize('age', [12, 15, 18, 21])
-def test_readers_double_while_nothing_is_heard(age: float) -> None:
-    """All readers of a zone have died at once.
+def test_readers_double_while_views_are_unconfirmed(age: float) -> None:
+    """All readers of a zone die at once.
 
-    Nobody of the zone would hear of a new version again; if all the others
-    took over together, the service would be asked by all of them at once.
+    Without new readers the zone would never receive another version. If all
+    other processes became readers together, they would overload the service.
     """
     steps = (age - 12) / 3 + 1
     assert readers_at(age) == min(READERS_IN_ZONE * 2**steps, len(NAMES))
 
 
-def test_everybody_reads_in_the_end() -> None:
+def test_all_processes_read_after_a_long_silence() -> None:
     assert readers_at(float('inf')) == len(NAMES)
 
 
--- a/packages/sycamore-core/src/sycamore_core/platform/watch.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/watcher.py
@@ -1,4 +1,4 @@
-"""Reads of the settings service, one after the other, at a bounded rate."""
+"""Sequential, rate-limited reads of the settings service."""
 
 import math
 import random
@@ -8,31 +8,31 @@
 from ..ids import SettingsVersion
 from ..states import ReadOutcome
 from ..telemetry import Log, Metrics
-from .pace import ReadPace
+from .schedule import ReadSchedule
 from .sources import PublishedSettings, SettingsSource
 from .view import SettingsView
 
 
-class PlatformWatch:
-    """Watches the settings service for what is above a view.
+class SettingsWatcher:
+    """Watches the settings service for versions above those of a view.
 
     Parameters
     ----------
     source
-        The service.
+        The settings service.
     clock
         Source of time.
     metrics
-        Counts the reads.
-    pace
-        Times between reads.
+        Counts the reads by outcome.
+    schedule
+        Intervals between reads.
 
     Attributes
     ----------
     failures
-        Reads that failed in a row.
-    draw
-        Returns random numbers from 0 to 1, for the back-off.
+        Number of consecutive failed reads.
+    draw_jitter
+        Returns random numbers from 0 to 1 for the backoff.
     """
 
     def __init__(
@@ -40,22 +40,22 @@
         source: SettingsSource,
         clock: Clock,
         metrics: Metrics,
-        pace: ReadPace,
+        schedule: ReadSchedule,
     ) -> None:
         self.source = source
         self.clock = clock
         self.metrics = metrics
-        self.pace = pace
+        self.schedule = schedule
         self.failures = 0
-        self.draw = random.random
+        self.draw_jitter = random.random
         self.log = Log('settings')
         self._recheck_at = -math.inf
 
     async def read(self, view: SettingsView) -> PublishedSettings | None:
-        """Read once; return what the service shows that may be newer.
+        """Read once and return the published tree if it may be newer.
 
-        What the view can learn from the service's silence is noted in it.
-        A failed read is counted, and returns nothing.
+        If the service reports nothing newer, the view records it. A failed
+        read is counted and returns None.
         """
         try:
             published = await self._read(view, self.clock.monotonic())
@@ -69,15 +69,23 @@
         self.metrics.settings_read(outcome)
         return published
 
-    def pause_after(self, started: float) -> float:
-        """Return how long to wait after a read, in seconds."""
+    def seconds_to_next_read(self, started: float) -> float:
+        """Return the delay between a read and the next one, in seconds.
+
+        Parameters
+        ----------
+        started
+            Monotonic time at which the read started, in seconds.
+        """
         if self.failures:
-            return self.pace.back_off(self.failures, self.draw())
+            return self.schedule.backoff_seconds(
+                self.failures, self.draw_jitter()
+            )
         spent = self.clock.monotonic() - started
-        return max(self.pace.interval - spent, 0)
+        return max(self.schedule.min_interval_seconds - spent, 0)
 
-    def recheck_soon(self) -> None:
-        """Let the next read ask whether the service shows what is in force."""
+    def request_recheck(self) -> None:
+        """Make the next read check that the service shows the tree in force."""
         self._recheck_at = -math.inf
 
     async def _read(
@@ -89,15 +97,15 @@
             return await self._recheck(view, started)
         published = await self.source.read_above(
             view.highest_seen,
-            self.pace.wait,
+            self.schedule.watch_seconds,
         )
         if published is None:
-            # A pause of this process may lie between the answer and now, so
-            # it counts from when it was due at the latest.
-            due = started + self.pace.wait
-            view.unchanged(min(self.clock.monotonic(), due))
+            # This process may have been suspended since the answer arrived,
+            # so the confirmation is not dated later than the end of the watch.
+            due = started + self.schedule.watch_seconds
+            view.record_unchanged(min(self.clock.monotonic(), due))
         else:
-            self._recheck_at = started + self.pace.recheck
+            self._recheck_at = started + self.schedule.recheck_seconds
         return published
 
     async def _recheck(
@@ -108,13 +116,13 @@
         below = SettingsVersion(max(view.accepted.version - 1, 0))
         published = await self.source.read_above(below, 0)
         if published is None:
-            # The service is behind what is in force here, so that its
-            # silence about newer versions says nothing. That answer has no
-            # body, so the next look need not wait long.
-            self._recheck_at = started + self.pace.wait
-            view.platform_is_behind()
+            # The service is behind the tree in force here, so the absence of
+            # newer versions confirms nothing. This answer has no body, so
+            # the next check can come soon.
+            self._recheck_at = started + self.schedule.watch_seconds
+            view.record_platform_behind()
             version = view.accepted.version
             self.log.warning('settings_service_stale', settings_version=version)
         else:
-            self._recheck_at = started + self.pace.recheck
+            self._recheck_at = started + self.schedule.recheck_seconds
         return published
