--- a/packages/sycamore-entry/src/sycamore_entry/__main__.py
+++ b/packages/sycamore-entry/src/sycamore_entry/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the binary as a module."""
+"""Entry point of ``python -m sycamore_entry``."""
 
 from .cli import main
 
--- a/packages/sycamore-entry/src/sycamore_entry/answers/__init__.py
+++ b/packages/sycamore-entry/src/sycamore_entry/answers/__init__.py
@@ -1,4 +1,4 @@
-"""Answers put together from frames that may come late, twice or disordered."""
+"""Assembly of answers from late, duplicate or reordered frames."""
 
 from .assembler import AnswerAssembler
 from .sinks import AnswerSink
--- a/packages/sycamore-entry/src/sycamore_entry/answers/assembler.py
+++ b/packages/sycamore-entry/src/sycamore_entry/answers/assembler.py
@@ -1,10 +1,10 @@
-"""Puts the frames of one attempt in order and tells a whole answer from a cut.
+"""Orders the frames of one attempt and detects incomplete answers.
 
-What goes wrong: frames are lost with a connection, sent twice after a gap was
-asked for again, or come from an attempt that was given up. The caller would
-read a sentence twice or miss one. Frames are therefore numbered, only the
-next number is handed on, and the closing frame carries the count and the
-checksum of all before it.
+Frames can be lost with a connection, arrive twice after a repeated request
+for missing frames, or belong to an abandoned attempt. Without a check, the
+caller would receive parts of the text twice or not at all. Frames are
+therefore numbered, the assembler delivers only the next number, and the
+closing frame carries the count and the checksum of all frames before it.
 """
 
 import zlib
@@ -14,23 +14,25 @@
 from sycamore_core.messages import Close, Frame
 from sycamore_core.states import Outcome
 
-from ..errors import CutAnswerError
+from ..errors import IncompleteAnswerError
 
 
 class AnswerAssembler:
-    """The answer of one attempt, as far as it has come.
+    """Assembles the answer of one attempt.
 
     Parameters
     ----------
     attempt
         Frames of any other attempt are dropped.
     after
-        Number of the last frame that the caller has already.
+        Number of the last frame that the caller has received.
 
     Attributes
     ----------
     dropped
-        Frames that were doubled or of another attempt.
+        Number of frames that were duplicates or of another attempt.
+    last_delivered
+        Number of the last frame that was delivered.
 
     Examples
     --------
@@ -45,46 +47,53 @@
 
     def __init__(self, attempt: Attempt, after: int = -1) -> None:
         self.attempt = attempt
-        self.handed_on = after
+        self.last_delivered = after
         self.dropped = 0
         self._from_start = after < 0
         self._checksum = 0
-        self._early: dict[int, Frame] = {}
+        self._out_of_order: dict[int, Frame] = {}
 
     @property
     def has_gap(self) -> bool:
-        """Whether frames wait for one that has not come."""
-        return bool(self._early)
+        """Whether received frames wait for a missing frame."""
+        return bool(self._out_of_order)
 
     def add(self, frame: Frame) -> Iterator[Frame]:
-        """Take a frame and yield those that are next in order.
+        """Add a frame and yield the frames that are next in order.
 
         Raises
         ------
-        CutAnswerError
-            If the closing frame does not fit what came before it.
+        IncompleteAnswerError
+            If the closing frame does not match the frames before it.
         """
-        if frame.attempt != self.attempt or frame.sequence <= self.handed_on:
+        if (
+            frame.attempt != self.attempt
+            or frame.sequence <= self.last_delivered
+        ):
             self.dropped += 1
             return
-        self._early[frame.sequence] = frame
-        following = self._early.pop(self.handed_on + 1, None)
+        self._out_of_order[frame.sequence] = frame
+        following = self._out_of_order.pop(self.last_delivered + 1, None)
         while following is not None:
-            self._hand_on(following)
+            self._deliver(following)
             yield following
-            following = self._early.pop(self.handed_on + 1, None)
+            following = self._out_of_order.pop(self.last_delivered + 1, None)
 
-    def _hand_on(self, frame: Frame) -> None:
+    def _deliver(self, frame: Frame) -> None:
         if frame.close is not None:
             self._check(frame.sequence, frame.close)
         self._checksum = zlib.crc32(frame.payload, self._checksum)
-        self.handed_on = frame.sequence
+        self.last_delivered = frame.sequence
 
     def _check(self, sequence: Sequence, close: Close) -> None:
         if close.frames != sequence:
-            raise CutAnswerError(f'{close.frames} frames, {sequence} came')
-        # The checksum covers the whole answer; a caller that came back for
-        # the rest of one checks it over both parts itself.
+            raise IncompleteAnswerError(
+                f'{close.frames} frames announced, {sequence} received'
+            )
+        # The checksum covers the whole answer. A caller that resumes an
+        # answer checks it over both parts itself.
         comparable = self._from_start and close.outcome == Outcome.COMPLETE
         if comparable and close.checksum != self._checksum:
-            raise CutAnswerError('the checksum does not fit the frames')
+            raise IncompleteAnswerError(
+                'the checksum does not match the frames'
+            )
--- a/packages/sycamore-entry/src/sycamore_entry/answers/sinks.py
+++ b/packages/sycamore-entry/src/sycamore_entry/answers/sinks.py
@@ -1,4 +1,4 @@
-"""Where an answer goes, whatever form its caller asked for."""
+"""The interface to the destination of an answer."""
 
 import abc
 from collections.abc import Sequence
@@ -10,27 +10,27 @@
 
 
 class AnswerSink(abc.ABC):
-    """Takes an answer in order; each call returns once the caller has room."""
+    """Writes an answer in order; each call waits until the caller has room."""
 
     @abc.abstractmethod
-    async def admitted(self, request_id: RequestId) -> None:
-        """Tell the caller that the request runs and under which id."""
+    async def start(self, request_id: RequestId) -> None:
+        """Report to the caller that the request runs, and its id."""
 
     @abc.abstractmethod
-    async def frames(self, frames: Sequence[Frame]) -> None:
-        """Hand on some frames of the answer."""
+    async def write_frames(self, frames: Sequence[Frame]) -> None:
+        """Write some frames of the answer."""
 
     @abc.abstractmethod
     async def close(self, close: Close) -> None:
-        """Hand on the end of the answer."""
+        """Write the end of the answer."""
 
     @abc.abstractmethod
-    def abandon(self) -> None:
-        """Break the connection off; the answer goes to another one.
+    def abort(self) -> None:
+        """Abort the connection; the answer goes to another connection.
 
-        What goes wrong otherwise: a connection that ends in order with
-        nothing sent reads as an empty answer, and its caller takes a deposit
-        for recorded that may still be refused on the other connection.
+        A connection that closes normally without content looks like an empty
+        answer. The caller would then assume that, for example, a deposit was
+        recorded, although the other connection may still get a refusal.
         """
 
     @abc.abstractmethod
@@ -39,4 +39,4 @@
         request_id: RequestId,
         refused: RefusedError,
     ) -> None:
-        """Hand on that there is no answer, or no rest of one."""
+        """Report that there is no answer, or no further part of the answer."""
--- a/packages/sycamore-entry/src/sycamore_entry/answers/tests/test_assembler.py
+++ b/packages/sycamore-entry/src/sycamore_entry/answers/tests/test_assembler.py
@@ -1,4 +1,4 @@
-"""Tests of putting an answer together."""
+"""Tests of the assembly of answers."""
 
 import zlib
 
@@ -9,7 +9,7 @@
 from sycamore_core.messages import Close, Frame
 from sycamore_core.states import Outcome
 
-from ...errors import CutAnswerError
+from ...errors import IncompleteAnswerError
 from .. import AnswerAssembler
 
 REQUEST = RequestId('r')
@@ -37,24 +37,24 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(arrivals())
-def test_any_order_and_doubling_gives_the_whole_answer(
+def test_reordered_and_duplicate_frames_give_the_whole_answer(
     arrival: tuple[list[bytes], list[Frame]],
 ) -> None:
-    """Packets overtake each other and are sent again after a gap.
+    """Packets arrive out of order and are sent again after a gap.
 
-    The caller must still read each piece once and in order.
+    The caller must still receive each frame once and in order.
     """
     payloads, frames = arrival
     assembler = AnswerAssembler(ATTEMPT)
-    handed_on = [ready for frame in frames for ready in assembler.add(frame)]
-    assert [frame.payload for frame in handed_on[:-1]] == payloads
-    assert handed_on[-1].close is not None
+    delivered = [ready for frame in frames for ready in assembler.add(frame)]
+    assert [frame.payload for frame in delivered[:-1]] == payloads
+    assert delivered[-1].close is not None
 
 
 def test_frames_of_another_attempt_are_dropped() -> None:
-    """A paused endpoint wakes up and sends the answer of a given up attempt.
+    """A suspended endpoint resumes and sends the answer of an old attempt.
 
-    The caller would read two answers mixed into one.
+    Without the check, the caller would receive a mixture of two answers.
     """
     assembler = AnswerAssembler(ATTEMPT)
     late = Frame(REQUEST, Attempt(1), Sequence(0), b'late')
@@ -62,24 +62,24 @@
     assert assembler.dropped == 1
 
 
-def test_wrong_checksum_is_a_cut_answer() -> None:
-    """A piece is altered on its way; the caller must not take it as whole."""
+def test_wrong_checksum_is_an_incomplete_answer() -> None:
+    """A frame altered in transit must not count as part of the answer."""
     frames = make_frames([b'one', b'two'])
     assembler = AnswerAssembler(ATTEMPT)
     altered = Frame(REQUEST, ATTEMPT, Sequence(0), b'won')
-    with pytest.raises(CutAnswerError):
+    with pytest.raises(IncompleteAnswerError):
         for frame in (altered, *frames[1:]):
             list(assembler.add(frame))
 
 
-def test_wrong_count_is_a_cut_answer() -> None:
+def test_wrong_count_is_an_incomplete_answer() -> None:
     close = Close(Outcome.COMPLETE, 5, 0)
     last = Frame(REQUEST, ATTEMPT, Sequence(0), close=close)
-    with pytest.raises(CutAnswerError):
+    with pytest.raises(IncompleteAnswerError):
         list(AnswerAssembler(ATTEMPT).add(last))
 
 
-def test_rest_of_an_answer_begins_after_what_the_caller_has() -> None:
+def test_resumed_answer_begins_after_the_last_received_frame() -> None:
     frames = make_frames([b'one', b'two', b'three'])
     assembler = AnswerAssembler(ATTEMPT, after=1)
     rest = [ready for frame in frames for ready in assembler.add(frame)]
--- a/packages/sycamore-entry/src/sycamore_entry/intake.py
+++ b/packages/sycamore-entry/src/sycamore_entry/checked_call.py
@@ -1,4 +1,4 @@
-"""Turning a checked call into a request that can be offered."""
+"""Conversion of a checked call into a request that can be offered."""
 
 import msgspec
 from sycamore_core.decisions import RequestView
@@ -18,15 +18,15 @@
 from .web.prompts import Prompt
 
 
-class Intake(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of a call before its body is read.
+class CheckedCall(msgspec.Struct, frozen=True, kw_only=True):
+    """A call whose target and headers are checked, before its body is read.
 
     Attributes
     ----------
     arrival
-        Monotonic time, in seconds.
+        Monotonic time of the arrival, in seconds.
     claims
-        Content of a reserved id, if the caller used one.
+        Claims of a reserved id, if the caller used one.
     """
 
     fleet: FleetSettings
@@ -38,7 +38,7 @@
 
     @property
     def service(self) -> ServiceSettings:
-        """The values in force for the service."""
+        """The settings in force for the service."""
         return self.workspace.services[self.service_id]
 
     @property
@@ -50,7 +50,7 @@
 
 
 def make_model_request(
-    intake: Intake,
+    checked_call: CheckedCall,
     request_id: RequestId,
     prompt: Prompt,
 ) -> CallerRequest:
@@ -59,25 +59,25 @@
     Raises
     ------
     RefusedError
-        If the prompt is larger than the service takes, or the service is a
-        plain one.
+        If the prompt is larger than the service allows, or the service is a
+        plain service.
     """
-    service = intake.service
+    service = checked_call.service
     if service.kind != EndpointKind.MODEL:
         raise RefusedError(
             RefusalReason.BAD_REQUEST,
-            'this is a plain service; use its path "call"',
+            'this is a plain service; use the path "call"',
         )
     if prompt.tokens > service.max_prompt_tokens:
         raise RefusedError(
             RefusalReason.PROMPT_TOO_LONG,
             f'the prompt has more than {service.max_prompt_tokens} tokens',
         )
-    return _make_request(intake, request_id, prompt, None)
+    return _make_request(checked_call, request_id, prompt, None)
 
 
 def make_plain_request(
-    intake: Intake,
+    checked_call: CheckedCall,
     request_id: RequestId,
     call: PlainCall,
     body: bytes,
@@ -89,56 +89,56 @@
     RefusedError
         If the service is a model.
     """
-    if intake.service.kind != EndpointKind.PLAIN:
+    if checked_call.service.kind != EndpointKind.PLAIN:
         raise RefusedError(
             RefusalReason.BAD_REQUEST,
-            'this is a model; use its path "requests"',
+            'this is a model; use the path "requests"',
         )
-    return _make_request(intake, request_id, Prompt(body, 0, 0, ()), call)
+    return _make_request(checked_call, request_id, Prompt(body, 0, 0, ()), call)
 
 
 def _make_request(
-    intake: Intake,
+    checked_call: CheckedCall,
     request_id: RequestId,
     prompt: Prompt,
     call: PlainCall | None,
 ) -> CallerRequest:
-    view = _make_view(intake, request_id, prompt)
+    view = _make_view(checked_call, request_id, prompt)
     return CallerRequest(
         view=view,
         payload=prompt.payload,
         plain_call=call,
-        idempotency_key=intake.terms.idempotency_key,
-        bound_incarnation=intake.bound_incarnation,
-        settings_version=intake.fleet.version,
-        target=intake.service.target_for(view.band),
+        idempotency_key=checked_call.terms.idempotency_key,
+        bound_incarnation=checked_call.bound_incarnation,
+        settings_version=checked_call.fleet.version,
+        target=checked_call.service.target_for(view.band),
     )
 
 
 def _make_view(
-    intake: Intake,
+    checked_call: CheckedCall,
     request_id: RequestId,
     prompt: Prompt,
 ) -> RequestView:
-    service = intake.service
-    band = intake.fleet.policy.bands.band_of(prompt.tokens)
+    service = checked_call.service
+    band = checked_call.fleet.policy.bands.band_of(prompt.tokens)
     target = service.target_for(band)
     return RequestView(
         request_id=request_id,
-        workspace=intake.workspace.workspace,
-        service=intake.service_id,
+        workspace=checked_call.workspace.workspace,
+        service=checked_call.service_id,
         kind=service.kind,
         band=PromptBand(band),
         prompt_tokens=prompt.tokens,
         max_output_tokens=_output_tokens(service, prompt),
-        arrival=intake.arrival,
-        deadline=intake.arrival + intake.terms.time_limit,
-        idempotent=intake.terms.idempotent,
+        arrival=checked_call.arrival,
+        deadline=checked_call.arrival + checked_call.terms.time_limit,
+        idempotent=checked_call.terms.idempotent,
         target_seconds=0 if target is None else target.first_token_seconds,
         penalty=0 if target is None else target.penalty,
-        weight=intake.workspace.weight,
+        weight=checked_call.workspace.weight,
         prefix_blocks=prompt.blocks,
-        pinned_to=_pinned_to(intake),
+        pinned_to=_pinned_to(checked_call),
     )
 
 
@@ -149,14 +149,14 @@
     return min(asked, service.max_output_tokens)
 
 
-def _pinned_to(intake: Intake) -> EndpointId | None:
-    if intake.claims is not None:
-        return EndpointId(intake.claims.minter)
-    if intake.terms.idempotency_key:
+def _pinned_to(checked_call: CheckedCall) -> EndpointId | None:
+    if checked_call.claims is not None:
+        return EndpointId(checked_call.claims.minter)
+    if checked_call.terms.idempotency_key:
         return home_endpoint(
-            intake.fleet,
-            intake.workspace.workspace,
-            intake.service_id,
-            intake.terms.idempotency_key,
+            checked_call.fleet,
+            checked_call.workspace.workspace,
+            checked_call.service_id,
+            checked_call.terms.idempotency_key,
         )
     return None
--- a/packages/sycamore-entry/src/sycamore_entry/cli.py
+++ b/packages/sycamore-entry/src/sycamore_entry/cli.py
@@ -7,7 +7,7 @@
 
 
 async def serve(settings: EntryProcessSettings) -> None:
-    """Run one process; its parts need the running event loop."""
+    """Run one process; its components need the running event loop."""
     await EntryProcess.from_settings(settings).run()
 
 
--- a/packages/sycamore-entry/src/sycamore_entry/parts.py
+++ b/packages/sycamore-entry/src/sycamore_entry/components.py
@@ -1,4 +1,4 @@
-"""The parts of an entry process, put together from its settings."""
+"""Construction of the components of an entry process."""
 
 import dataclasses
 import secrets
@@ -17,16 +17,16 @@
 
 from .exchanges import EntryContext, ExchangeRegistry
 from .fleet import EndpointLinks
-from .peers import PeerHandler, SchedulerFeed
-from .records import RecordBook
+from .peers import LinkEventHandler, PeerHandler
+from .records import RecordRegistry
 from .reservations import Reservations
 from .web import WebContext
 
 _NONCE_BYTES = 9
 
 
-class IdMint:
-    """Mints the ids of requests that may run at any endpoint."""
+class RequestIdMinter:
+    """Mints the ids of requests that can run at any endpoint."""
 
     def __init__(
         self,
@@ -41,10 +41,11 @@
         self.clock = clock
 
     def mint(self, workspace: str, service: str, key: str = '') -> RequestId:
-        """Return a new id, or the one id that belongs to a caller's key.
+        """Return a new id, or the id that belongs to a caller's key.
 
         A caller that sends its key again, through any entry, must reach the
-        run that it has started before: the id is made from the key alone.
+        run that it started before. The id is therefore derived only from the
+        workspace, the service and the key.
         """
         if key:
             return self.signer.mint(_key_claims(workspace, service, key))
@@ -62,8 +63,8 @@
 
 
 @dataclasses.dataclass
-class EntryParts:
-    """The parts that a running process needs at hand."""
+class EntryComponents:
+    """The components that a running process uses directly."""
 
     node: Node
     keeper: SettingsKeeper
@@ -77,7 +78,7 @@
         scheduler: Scheduler,
         clock: Clock,
     ) -> Self:
-        """Return the parts of one process.
+        """Return the components of one process.
 
         Raises
         ------
@@ -99,21 +100,21 @@
         node.serve_peer = PeerHandler(context, reservations, keeper).serve
         signer = RequestIdSigner(keys)
         minter = PeerId(settings.name)
-        mint = IdMint(signer, minter, incarnation, clock)
+        id_minter = RequestIdMinter(signer, minter, incarnation, clock)
         web = WebContext(
             entry=context,
             signer=signer,
             reservations=reservations,
             current_fleet=lambda: keeper.fleet,
-            new_request_id=mint.mint,
+            new_request_id=id_minter.mint,
         )
         return cls(node, keeper, context, web)
 
-    def take_settings(self, fleet: FleetSettings) -> None:
-        """Take a newer settings tree into force."""
+    def apply_settings(self, fleet: FleetSettings) -> None:
+        """Apply a newer settings tree."""
         self.context.scheduler.update_settings(fleet, self.context.now())
         self.context.links.update(fleet, self.node)
-        self.context.wake.set()
+        self.context.dispatch_needed.set()
 
 
 def _key_claims(workspace: str, service: str, key: str) -> RequestClaims:
@@ -134,7 +135,7 @@
     clock: Clock,
     keeper: SettingsKeeper,
 ) -> EntryContext:
-    feed = SchedulerFeed()
+    link_events = LinkEventHandler()
     context = EntryContext(
         clock=clock,
         scheduler=scheduler,
@@ -142,21 +143,21 @@
             settings.name,
             settings.zone,
             clock,
-            feed,
-            lambda: _claim_of(keeper),
+            link_events,
+            lambda: _current_claim(keeper),
         ),
         registry=ExchangeRegistry(),
-        records=RecordBook(),
+        records=RecordRegistry(),
         attainment=Attainment(),
         metrics=keeper.metrics,
         log=Log('entry'),
     )
-    feed.context = context
-    _watch(context, keeper)
+    link_events.context = context
+    _register_gauges(context, keeper)
     return context
 
 
-def _watch(context: EntryContext, keeper: SettingsKeeper) -> None:
+def _register_gauges(context: EntryContext, keeper: SettingsKeeper) -> None:
     metrics = context.metrics
     registry = context.registry
     metrics.watch(Gauge.RUNNING, lambda: len(registry))
@@ -164,7 +165,7 @@
     metrics.watch_attainment(context.attainment)
 
 
-def _claim_of(keeper: SettingsKeeper) -> SettingsClaim:
+def _current_claim(keeper: SettingsKeeper) -> SettingsClaim:
     return keeper.claim
 
 
--- a/packages/sycamore-entry/src/sycamore_entry/dispatcher.py
+++ b/packages/sycamore-entry/src/sycamore_entry/dispatcher.py
@@ -1,18 +1,18 @@
-"""Hands the scheduler's decisions to the exchanges that they are about."""
+"""Delivers the decisions of the scheduler to the exchanges."""
 
 import asyncio
 
 from .exchanges import EntryContext
 
-#: Shortest and longest time between two looks at the queue, in seconds. The
-#: shortest lets a burst of arrivals share one look; the longest bounds the
-#: wait of a request whose wake-up was missed.
+#: Minimum and maximum interval between two dispatches. The minimum lets a burst
+#: of arrivals share one dispatch. The maximum bounds the delay of a request
+#: after a missed wake-up.
 MIN_PAUSE_SECONDS = 0.001
 MAX_PAUSE_SECONDS = 0.5
 
 
 class Dispatcher:
-    """The one task that asks the scheduler what is to be done next."""
+    """The task that requests decisions from the scheduler."""
 
     def __init__(self, context: EntryContext) -> None:
         self.context = context
@@ -25,7 +25,7 @@
             await self._wait()
 
     def dispatch(self) -> None:
-        """Hand on all that is to be offered or given up now."""
+        """Deliver all dispatches and refusals that are due now."""
         now = self.context.now()
         for decision in self.context.scheduler.dispatch(now):
             self.context.registry.deliver(decision.request_id, decision)
@@ -35,7 +35,7 @@
         pause = self.context.scheduler.next_wake(now) - now
         try:
             async with asyncio.timeout(min(max(pause, 0), MAX_PAUSE_SECONDS)):
-                await self.context.wake.wait()
+                await self.context.dispatch_needed.wait()
         except TimeoutError:
             return
-        self.context.wake.clear()
+        self.context.dispatch_needed.clear()
--- a/packages/sycamore-entry/src/sycamore_entry/errors.py
+++ b/packages/sycamore-entry/src/sycamore_entry/errors.py
@@ -5,25 +5,25 @@
 
 
 class EntryError(SycamoreError):
-    """Root of the errors of the entry process."""
+    """Base class of the errors of the entry process."""
 
 
 class RefusedError(EntryError):
-    """The request gets its final answer now, and it is not the one asked for.
+    """The request is refused or has failed, and gets no other answer.
 
     Parameters
     ----------
     reason
-        Why; the label of the refusal counter.
+        Reason of the refusal; also the label of the refusal counter.
     execution
-        What is known about whether the request was run.
+        Whether the request was run, as far as is known.
     this_call
-        What is known about whether this call ran it; another call under the
-        same id or key may have run it before. As `execution` if not given.
+        Whether this call ran the request; an earlier call under the same id
+        or key may have run it. Defaults to `execution`.
     retry_after
-        When to come back, in seconds; 0 if coming back does not help.
+        Delay before a retry, in seconds; 0 if a retry does not help.
     detail
-        A sentence for the caller.
+        Explanation for the caller.
     """
 
     def __init__(
@@ -44,8 +44,8 @@
 
 
 class CallerGoneError(EntryError):
-    """The caller's connection is closed; nobody waits for the answer."""
+    """The caller has closed the connection."""
 
 
-class CutAnswerError(EntryError):
-    """The frames of an answer do not make up what its closing frame says."""
+class IncompleteAnswerError(EntryError):
+    """The frames of an answer do not match its closing frame."""
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/__init__.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/__init__.py
@@ -1,4 +1,4 @@
-"""One request between its caller and the endpoints, from offer to close."""
+"""Exchanges: the handling of one request between caller and endpoints."""
 
 from .attach import AttachExchange
 from .call import CallerRequest
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/attach.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/attach.py
@@ -1,4 +1,4 @@
-"""A caller that comes back for an answer, through any entry."""
+"""Resuming an answer for a caller that reconnects, through any entry."""
 
 from sycamore_core.identity import IdKind, RequestClaims
 from sycamore_core.ids import EndpointId, RequestId
@@ -12,33 +12,34 @@
 )
 
 from ..answers import AnswerSink
-from ..errors import CallerGoneError, CutAnswerError, RefusedError
+from ..errors import CallerGoneError, IncompleteAnswerError, RefusedError
 from ..fleet import EndpointLink
 from .context import EntryContext
 from .mailbox import Mailbox
 from .stream import AnswerLostError, AnswerStream
-from .waiting import SupersededError, next_of
+from .waiting import SupersededError, next_event_of
 
-#: How long the reports of the endpoint processes are waited for each time
-#: that they are asked which of them has the answer. They take milliseconds,
-#: but an entry that has just started still has to connect to them.
-FIND_SECONDS = 1.0
-FIND_TRIES = 4
-_COME_BACK_SECONDS = 1.0
-_ABSENT = frozenset((RunState.NEVER_SEEN, RunState.WITHDRAWN))
+#: Timeout for the run reports of the endpoint processes, for each attempt to
+#: find the answer. A report takes milliseconds, but an entry that has just
+#: started still has to connect.
+FIND_TIMEOUT_SECONDS = 1.0
+MAX_FIND_ATTEMPTS = 4
+_RETRY_AFTER_SECONDS = 1.0
+_ABSENT_STATES = frozenset((RunState.NEVER_SEEN, RunState.WITHDRAWN))
 
 
 class AttachExchange:
-    """Finds the endpoint process that has an answer and hands the rest on.
+    """Finds the endpoint process that has an answer and relays the rest.
 
-    An id minted by an entry does not say where the request runs, so all
-    endpoint processes of the service are asked. That happens only when an
-    entry or a connection was lost, which is rare enough.
+    An id minted by an entry does not contain the endpoint that runs the
+    request, so the exchange queries all endpoint processes of the service.
+    This cost arises only after the loss of an entry or a connection, which
+    is rare.
 
     Parameters
     ----------
     after
-        Number of the last event that the caller has.
+        Number of the last event that the caller has received.
     """
 
     def __init__(
@@ -54,32 +55,34 @@
         self.after = after
 
     async def run(self, fleet: FleetSettings, sink: AnswerSink) -> None:
-        """Hand the answer on to `sink` until its end."""
+        """Relay the answer to `sink` until its end."""
         mailbox = self.context.registry.open(self.request_id)
         try:
-            await self._hand_on(fleet, sink, mailbox)
+            await self._relay_answer(fleet, sink, mailbox)
         except RefusedError as refused:
             self.context.metrics.refused(refused.reason)
             await sink.refuse(self.request_id, refused)
         except SupersededError:
-            sink.abandon()
+            sink.abort()
         except CallerGoneError:
             return
         finally:
-            self._end(mailbox)
+            self._finish(mailbox)
 
-    async def _hand_on(
+    async def _relay_answer(
         self,
         fleet: FleetSettings,
         sink: AnswerSink,
         mailbox: Mailbox,
     ) -> None:
-        report = await self._find(fleet, mailbox)
+        report = await self._find_run(fleet, mailbox)
         link = self.context.links.open(report.endpoint)
         if link is None:
-            raise _lost('the endpoint that has the answer is gone')
+            raise _outcome_unknown(
+                'the endpoint that has the answer is no longer available'
+            )
         mailbox.endpoint = link.endpoint
-        await sink.admitted(self.request_id)
+        await sink.start(self.request_id)
         stream = AnswerStream(
             link,
             self.request_id,
@@ -89,41 +92,43 @@
         )
         try:
             close = await stream.receive(sink)
-        except (AnswerLostError, CutAnswerError) as error:
-            raise _lost(str(error)) from error
+        except (AnswerLostError, IncompleteAnswerError) as error:
+            raise _outcome_unknown(str(error)) from error
         await sink.close(close)
 
-    async def _find(
+    async def _find_run(
         self,
         fleet: FleetSettings,
         mailbox: Mailbox,
     ) -> RunReport:
-        links = self._links(fleet)
-        for _ in range(FIND_TRIES):
-            report = await self._ask(links, mailbox)
+        links = self._candidate_links(fleet)
+        for _ in range(MAX_FIND_ATTEMPTS):
+            report = await self._query_endpoints(links, mailbox)
             if report is not None:
                 return report
         raise RefusedError(
             RefusalReason.UNKNOWN_REQUEST,
-            'no endpoint that answers knows this request',
+            'no endpoint that replied knows this request',
             execution=Execution.UNKNOWN,
-            retry_after=_COME_BACK_SECONDS,
+            retry_after=_RETRY_AFTER_SECONDS,
         )
 
-    async def _ask(
+    async def _query_endpoints(
         self,
         links: list[EndpointLink],
         mailbox: Mailbox,
     ) -> RunReport | None:
-        """Ask once; the first packets to a peer may be lost."""
+        """Query each endpoint once; the first packets to a peer may be lost."""
         for link in links:
             link.post(Attach(self.request_id, self.after))
         absent: set[EndpointId] = set()
         while len(absent) < len(links):
-            report = await next_of(mailbox, (RunReport,), FIND_SECONDS)
+            report = await next_event_of(
+                mailbox, (RunReport,), FIND_TIMEOUT_SECONDS
+            )
             if report is None:
                 return None
-            if report.state not in _ABSENT:
+            if report.state not in _ABSENT_STATES:
                 return report
             absent.add(report.endpoint)
         raise RefusedError(
@@ -132,7 +137,7 @@
             execution=Execution.UNKNOWN,
         )
 
-    def _links(self, fleet: FleetSettings) -> list[EndpointLink]:
+    def _candidate_links(self, fleet: FleetSettings) -> list[EndpointLink]:
         if self.claims.kind == IdKind.BOUND:
             names = [EndpointId(self.claims.minter)]
         else:
@@ -141,7 +146,7 @@
         links = [self.context.links.open(name) for name in names]
         return [link for link in links if link is not None]
 
-    def _end(self, mailbox: Mailbox) -> None:
+    def _finish(self, mailbox: Mailbox) -> None:
         if self.context.registry.close(self.request_id, mailbox):
             now = self.context.now()
             self.context.scheduler.finished(
@@ -151,10 +156,10 @@
             )
 
 
-def _lost(detail: str) -> RefusedError:
+def _outcome_unknown(detail: str) -> RefusedError:
     return RefusedError(
         RefusalReason.OUTCOME_UNKNOWN,
         detail,
         execution=Execution.RAN,
-        retry_after=_COME_BACK_SECONDS,
+        retry_after=_RETRY_AFTER_SECONDS,
     )
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/attempt.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/attempt.py
@@ -1,9 +1,9 @@
-"""One attempt: an offer to an endpoint process, until it is clear.
+"""One attempt: an offer to an endpoint process, until its state is known.
 
-What goes wrong: the reply to an offer is lost, and the request may or may not
-run. Offering it elsewhere at once could run it twice; telling the caller that
-it was not run could be untrue. The attempt therefore withdraws the request
-until the endpoint process says which of the two it is.
+If the reply to an offer is lost, the request may or may not run. An immediate
+offer to another endpoint could run it twice, and reporting "not run" to the
+caller could be wrong. The attempt therefore repeats a withdrawal until the
+endpoint process reports whether the request ran.
 """
 
 import enum
@@ -22,21 +22,22 @@
 from .call import CallerRequest
 from .events import EndpointLost
 from .mailbox import Mailbox
-from .waiting import next_of
+from .waiting import next_event_of
 
-#: How long the reply to an offer is waited for. A reply takes a few
-#: milliseconds; the packet of a prompt of a million tokens some tens.
-OFFER_REPLY_SECONDS = 1.0
-#: How often an offer under an id that may be sent again is made.
-OFFER_TRIES = 5
-#: Pause between two withdrawals.
-WITHDRAW_SECONDS = 0.3
-#: How long a silent endpoint process is asked before the outcome is unknown.
-WITHDRAW_PATIENCE_SECONDS = 5.0
+#: Timeout for the reply to an offer. A reply takes a few milliseconds; the
+#: packet of a prompt of a million tokens takes some tens of milliseconds.
+OFFER_REPLY_TIMEOUT_SECONDS = 1.0
+#: Maximum number of offers under an id that the caller may reuse.
+MAX_OFFERS = 5
+#: Interval between two withdrawals.
+WITHDRAW_INTERVAL_SECONDS = 0.3
+#: Time after which the outcome counts as unknown if the endpoint process
+#: does not reply to the withdrawals.
+WITHDRAW_TIMEOUT_SECONDS = 5.0
 
 
 class AttemptState(enum.StrEnum):
-    """What became of an attempt."""
+    """State of an attempt after its offer."""
 
     RUNNING = 'running'
     DECLINED = 'declined'
@@ -50,10 +51,12 @@
     Attributes
     ----------
     attempt
-        Number of the attempt that is offered or, for an id that its caller
-        may send again, of the one that runs.
+        Number of the offered attempt. For an id that the caller may reuse,
+        the number of the attempt that runs.
     declined
-        The endpoint process's reply, if it declined.
+        Reply of the endpoint process, if it declined.
+    has_reusable_id
+        Whether the caller may send the request again under the same id.
     """
 
     def __init__(
@@ -68,94 +71,102 @@
         self.attempt = attempt
         self.mailbox = mailbox
         self.declined: Declined | None = None
-        self.is_repeatable_id = bool(
+        self.has_reusable_id = bool(
             request.bound_incarnation or request.idempotency_key,
         )
 
-    async def make(
+    async def send(
         self,
         budget: float,
         priority: int,
         members: tuple[str, ...],
     ) -> AttemptState:
-        """Send the offer and return what became of it.
+        """Send the offer and return the state of the attempt.
 
         Parameters
         ----------
         budget
-            Time left to the request, in seconds.
+            Time left until the deadline, in seconds.
         members
             Addresses of the other endpoint processes of a group.
         """
         self.mailbox.endpoint = self.link.endpoint
-        offer = self._offer(budget, priority, members)
-        reply = await self._reply_to(offer)
+        offer = self._make_offer(budget, priority, members)
+        reply = await self._send_until_reply(offer)
         if isinstance(reply, Accepted):
             self.attempt = reply.attempt
             return AttemptState.RUNNING
         if isinstance(reply, Declined):
             self.declined = reply
             return AttemptState.DECLINED
-        if self.is_repeatable_id:
+        if self.has_reusable_id:
             return AttemptState.UNKNOWN
         return await self._withdraw()
 
-    async def _reply_to(self, offer: Offer) -> Accepted | Declined | None:
-        # An id that its caller may send again may run at this endpoint only,
-        # and the run ledger there answers each copy of an offer the same. So
-        # it is sent again; to withdraw it would bar the caller's id for good.
-        tries = OFFER_TRIES if self.is_repeatable_id else 1
-        for _ in range(tries):
+    async def _send_until_reply(
+        self, offer: Offer
+    ) -> Accepted | Declined | None:
+        # A reusable id can run at this endpoint only, and the run ledger of
+        # the endpoint replies to each copy of an offer in the same way. The
+        # offer is therefore repeated; a withdrawal would permanently bar the
+        # caller's id.
+        attempts = MAX_OFFERS if self.has_reusable_id else 1
+        for _ in range(attempts):
             self.link.post(offer)
-            reply = await self._reply()
+            reply = await self._next_reply()
             if reply is not None:
                 return reply
         return None
 
-    async def _reply(self) -> Accepted | Declined | None:
-        kinds = (Accepted, Declined, EndpointLost)
+    async def _next_reply(self) -> Accepted | Declined | None:
+        event_types = (Accepted, Declined, EndpointLost)
         while True:
-            reply = await next_of(self.mailbox, kinds, OFFER_REPLY_SECONDS)
-            if reply is None or self._is_loss(reply):
+            reply = await next_event_of(
+                self.mailbox, event_types, OFFER_REPLY_TIMEOUT_SECONDS
+            )
+            if reply is None or self._is_endpoint_lost(reply):
                 return None
-            if self._is_mine(reply):
+            if self._is_about_attempt(reply):
                 return reply
 
     async def _withdraw(self) -> AttemptState:
-        kinds = (Accepted, Declined, RunReport, EndpointLost)
-        tries = int(WITHDRAW_PATIENCE_SECONDS / WITHDRAW_SECONDS)
-        for _ in range(tries):
+        event_types = (Accepted, Declined, RunReport, EndpointLost)
+        attempts = int(WITHDRAW_TIMEOUT_SECONDS / WITHDRAW_INTERVAL_SECONDS)
+        for _ in range(attempts):
             self.link.post(
                 Withdraw(self.request.view.request_id, self.attempt),
             )
-            reply = await next_of(self.mailbox, kinds, WITHDRAW_SECONDS)
-            state = self._state_of(reply)
+            reply = await next_event_of(
+                self.mailbox, event_types, WITHDRAW_INTERVAL_SECONDS
+            )
+            state = self._classify_reply(reply)
             if state is not None:
                 return state
         return AttemptState.UNKNOWN
 
-    def _state_of(self, reply: object) -> AttemptState | None:
+    def _classify_reply(self, reply: object) -> AttemptState | None:
         if isinstance(reply, EndpointLost) and reply.restarted:
-            # The earlier incarnation may have run it and nobody can tell.
+            # The earlier incarnation may have run the request; its state is
+            # lost.
             return AttemptState.UNKNOWN
-        if isinstance(reply, Declined) and self._is_mine(reply):
+        if isinstance(reply, Declined) and self._is_about_attempt(reply):
             self.declined = reply
             return AttemptState.DECLINED
-        if isinstance(reply, RunReport) and self._is_mine(reply):
+        if isinstance(reply, RunReport) and self._is_about_attempt(reply):
             return _reported_state(reply)
-        # A late `Accepted` does not end the step: the withdrawal that is on
-        # its way may still bar the run, and its report says which it is.
+        # A late `Accepted` does not end this step. The withdrawal in transit
+        # may still bar the run; the report about it gives the final state.
         return None
 
-    def _is_mine(self, reply: Accepted | Declined | RunReport) -> bool:
-        # The caller may have sent a repeatable id before, through this entry
-        # or another; the reply is then about the attempt that ran.
-        return self.is_repeatable_id or reply.attempt == self.attempt
+    def _is_about_attempt(self, reply: Accepted | Declined | RunReport) -> bool:
+        # The caller may have sent a reusable id before, through this entry or
+        # another one. The reply then concerns the attempt that ran.
+        return self.has_reusable_id or reply.attempt == self.attempt
 
-    def _is_loss(self, reply: object) -> bool:
+    def _is_endpoint_lost(self, reply: object) -> bool:
         return isinstance(reply, EndpointLost)
 
-    def _offer(
+    def _make_offer(
         self,
         budget: float,
         priority: int,
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/call.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/call.py
@@ -1,4 +1,4 @@
-"""What a caller asked for, checked and ready to be offered."""
+"""A validated request of a caller, ready to be offered."""
 
 import msgspec
 from sycamore_core.decisions import RequestView
@@ -8,16 +8,16 @@
 
 
 class CallerRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A caller's request.
+    """A validated request of a caller.
 
     Attributes
     ----------
     bound_incarnation
-        Incarnation to which the id is bound; 0 for an id minted here.
+        Incarnation to which the id is bound; 0 for an id minted by the entry.
     settings_version
-        The version with which the request was checked.
+        Version of the settings with which the request was validated.
     target
-        What the service commits to for requests of this band, if anything.
+        Latency target of the service for requests of this band, if any.
     """
 
     view: RequestView
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/context.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/context.py
@@ -1,4 +1,4 @@
-"""What every exchange of an entry process shares."""
+"""The components that all exchanges of an entry process share."""
 
 import asyncio
 import dataclasses
@@ -8,29 +8,31 @@
 from sycamore_core.telemetry import Attainment, Log, Metrics
 
 from ..fleet import EndpointLinks
-from ..records import RecordBook
+from ..records import RecordRegistry
 from .registry import ExchangeRegistry
 
 
 @dataclasses.dataclass
 class EntryContext:
-    """The shared parts of an entry process.
+    """The shared components of an entry process.
 
     Attributes
     ----------
-    wake
-        Set when the scheduler may have something to dispatch.
+    dispatch_needed
+        Set when the scheduler may have a request to dispatch.
     """
 
     clock: Clock
     scheduler: Scheduler
     links: EndpointLinks
     registry: ExchangeRegistry
-    records: RecordBook
+    records: RecordRegistry
     attainment: Attainment
     metrics: Metrics
     log: Log
-    wake: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    dispatch_needed: asyncio.Event = dataclasses.field(
+        default_factory=asyncio.Event
+    )
 
     def now(self) -> float:
         """Return the monotonic time, in seconds."""
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/events.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/events.py
@@ -1,4 +1,4 @@
-"""What reaches an exchange: decisions, messages and lost endpoints."""
+"""Events of an exchange: decisions, messages and lost endpoints."""
 
 import msgspec
 from sycamore_core.decisions import Dispatch, Refusal
@@ -12,8 +12,8 @@
     Attributes
     ----------
     restarted
-        Whether another incarnation answers in its place, in which case what
-        the earlier one knew is gone for good.
+        Whether another incarnation has replaced the endpoint process. The
+        state of the earlier incarnation is then permanently lost.
     """
 
     endpoint: EndpointId
@@ -21,9 +21,9 @@
 
 
 class Superseded(msgspec.Struct, frozen=True):
-    """The caller came back on another connection, which gets the answer."""
+    """The caller reconnected; the new connection receives the answer."""
 
 
-Reply = Accepted | Declined | Frame | RunReport
-Notice = Dispatch | EndpointLost | Refusal | Superseded
-ExchangeEvent = Reply | Notice
+EndpointReply = Accepted | Declined | Frame | RunReport
+LocalEvent = Dispatch | EndpointLost | Refusal | Superseded
+ExchangeEvent = EndpointReply | LocalEvent
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/mailbox.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/mailbox.py
@@ -1,4 +1,4 @@
-"""The events that wait for one exchange."""
+"""The queue of events for one exchange."""
 
 import asyncio
 from collections import deque
@@ -8,47 +8,47 @@
 
 from .events import ExchangeEvent
 
-#: Events that may wait for one exchange. Frames are bounded by the window of
-#: the endpoint process, which is smaller.
-MAILBOX_EVENTS = 1024
+#: Maximum number of queued events. The window of the endpoint process, which
+#: is smaller, bounds the frames among them.
+MAX_MAILBOX_EVENTS = 1024
 
 
 class Mailbox:
-    """Events for one exchange, and the endpoint that it talks to."""
+    """Queued events for one exchange, and its current endpoint."""
 
     def __init__(self) -> None:
         self.endpoint: EndpointId | None = None
         self._events: deque[ExchangeEvent] = deque()
-        self._filled = asyncio.Event()
+        self._has_events = asyncio.Event()
 
     @property
     def is_full(self) -> bool:
-        """Whether no more events are taken."""
-        return len(self._events) >= MAILBOX_EVENTS
+        """Whether the queue has reached its limit."""
+        return len(self._events) >= MAX_MAILBOX_EVENTS
 
     def put(self, event: ExchangeEvent) -> None:
         """Add an event."""
         self._events.append(event)
-        self._filled.set()
+        self._has_events.set()
 
     async def get(self) -> ExchangeEvent:
-        """Return the next event once there is one."""
-        await self._filled.wait()
+        """Wait for the next event and return it."""
+        await self._has_events.wait()
         event = self._events.popleft()
         if not self._events:
-            self._filled.clear()
+            self._has_events.clear()
         return event
 
-    def following_frames(self) -> list[Frame]:
-        """Return the frames that are next, without waiting.
+    def pop_frames(self) -> list[Frame]:
+        """Remove and return the frames at the head, without waiting.
 
-        Frames of a fast stream come several to a packet. Writing them to the
-        caller one by one costs a system call each, which at 2,000 frames a
-        second used up most of a core; together they cost one.
+        A packet of a fast stream carries several frames. Writing each frame
+        separately costs one system call a frame, which used most of a core
+        at 2,000 frames a second. Writing them together costs one call.
         """
         frames: list[Frame] = []
         while self._events and isinstance(self._events[0], Frame):
             frames.append(self._events.popleft())
         if not self._events:
-            self._filled.clear()
+            self._has_events.clear()
         return frames
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/progress.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/progress.py
@@ -1,9 +1,10 @@
-"""What is known so far of a request, and what may follow from it.
+"""Execution state of a request, and whether it may be attempted again.
 
-What goes wrong: an attempt fails in a way that leaves open whether the
-request ran. To call it "not run" or to run a non-idempotent one again would
-break a promise. Each step therefore notes here what it knows, and only here
-it is decided whether another attempt is allowed.
+An attempt can fail in a way that leaves unknown whether the request ran.
+Reporting "not run", or running a non-idempotent request again, would then
+break the at-most-once guarantee. Each step of an exchange therefore records
+its result here, and only this module decides whether another attempt is
+allowed.
 """
 
 from sycamore_core.decisions import Refusal, Requeued
@@ -20,40 +21,40 @@
 from ..fleet import EndpointLink
 from .call import CallerRequest
 from .context import EntryContext
-from .reports import ExchangeReport
+from .telemetry import ExchangeTelemetry
 
-_COME_BACK_SECONDS = 1.0
+_RETRY_AFTER_SECONDS = 1.0
 
 
 class ExchangeProgress:
-    """The state of one request in an entry process.
+    """Tracks the execution state of one request in an entry process.
 
     Attributes
     ----------
     execution
-        Whether any attempt so far has run; it is what the caller is told
-        when there is no answer.
+        Whether any attempt so far has run. The caller receives this value if
+        there is no answer.
     this_call
-        The same of this call alone, see `RefusedError`.
+        The same for this call alone, see `RefusedError`.
     link
-        The endpoint of the latest attempt.
+        Link to the endpoint of the latest attempt.
     """
 
     def __init__(
         self,
         context: EntryContext,
         request: CallerRequest,
-        report: ExchangeReport,
+        telemetry: ExchangeTelemetry,
     ) -> None:
         self.context = context
         self.request = request
-        self.report = report
+        self.telemetry = telemetry
         self.attempt = Attempt(0)
         self.execution = Execution.NOT_RUN
         self.link: EndpointLink | None = None
         self.this_call = Execution.NOT_RUN
-        self._before = Execution.NOT_RUN
-        self._call_before = Execution.NOT_RUN
+        self._previous_execution = Execution.NOT_RUN
+        self._previous_this_call = Execution.NOT_RUN
 
     @property
     def endpoint(self) -> EndpointId | None:
@@ -66,22 +67,22 @@
         return max(0, self.request.view.deadline - self.context.now())
 
     def begin_attempt(self, link: EndpointLink) -> None:
-        """Note that the request is being offered."""
+        """Record the start of an attempt at an endpoint."""
         self.attempt = Attempt(self.attempt + 1)
         self.link = link
-        self._before = self.execution
-        self._call_before = self.this_call
+        self._previous_execution = self.execution
+        self._previous_this_call = self.this_call
         self.execution = Execution.UNKNOWN
         self.this_call = Execution.UNKNOWN
 
-    def running(self, attempt: Attempt) -> None:
-        """Note that the endpoint process runs the request."""
+    def record_running(self, attempt: Attempt) -> None:
+        """Record that the endpoint process runs the request."""
         self.attempt = attempt
         self.execution = Execution.RAN
         self.this_call = Execution.RAN
 
-    def declined(self, declined: Declined) -> None:
-        """Note that the endpoint process does not run this attempt.
+    def record_declined(self, declined: Declined) -> None:
+        """Record that the endpoint process declined this attempt.
 
         Raises
         ------
@@ -90,38 +91,40 @@
         """
         known = declined.execution
         is_clear = known == Execution.NOT_RUN
-        self.this_call = self._call_before
-        self.execution = self._before if is_clear else known
+        self.this_call = self._previous_this_call
+        self.execution = self._previous_execution if is_clear else known
         refusal = Refusal(
             self.request.view.request_id,
             declined.reason,
             declined.retry_after,
         )
-        if not self._may_run_again:
-            raise self.refused_by(refusal)
+        if not self._is_retry_allowed:
+            raise self.error_from_refusal(refusal)
         now = self.context.now()
-        self._follow(self.context.scheduler.declined(refusal, now))
+        self._apply_decision(self.context.scheduler.declined(refusal, now))
 
-    def barred(self) -> None:
-        """Note that the endpoint process will never run this attempt.
+    def record_barred(self) -> None:
+        """Record that the endpoint process will never run this attempt.
 
         Raises
         ------
         RefusedError
             If there is to be no other attempt.
         """
-        self.execution = self._before
-        self.this_call = self._call_before
-        self.try_again(RetryReason.OFFER_LOST)
+        self.execution = self._previous_execution
+        self.this_call = self._previous_this_call
+        self.request_retry(RetryReason.OFFER_LOST)
 
-    def lost(self, detail: str, *, has_begun: bool = False) -> None:
-        """Note that nobody can tell what became of the attempt.
+    def record_lost(
+        self, detail: str, *, has_partial_answer: bool = False
+    ) -> None:
+        """Record that the outcome of the attempt is unknown.
 
         Parameters
         ----------
-        has_begun
-            Whether the caller has a part of the answer, to which the answer
-            of another run would not fit.
+        has_partial_answer
+            Whether the caller has received a part of the answer. The answer
+            of another run would not continue that part.
 
         Raises
         ------
@@ -130,47 +133,49 @@
         """
         self.cancel_run(CancelReason.SUPERSEDED)
         self.execution = Execution.UNKNOWN
-        if has_begun or not self._may_run_again:
-            raise self.refused(RefusalReason.OUTCOME_UNKNOWN, detail)
-        self.try_again(RetryReason.ENDPOINT_SILENT)
+        if has_partial_answer or not self._is_retry_allowed:
+            raise self.make_error(RefusalReason.OUTCOME_UNKNOWN, detail)
+        self.request_retry(RetryReason.ENDPOINT_SILENT)
 
-    def failed(self, reason: RefusalReason | None, detail: str) -> None:
-        """Note that the run has failed before its first frame.
+    def record_failed(self, reason: RefusalReason | None, detail: str) -> None:
+        """Record that the run failed before its first frame.
 
         Raises
         ------
         RefusedError
             If there is to be no other attempt.
         """
-        if not self._may_run_again:
+        if not self._is_retry_allowed:
             known = reason or RefusalReason.BACKEND_FAILED
-            raise self.refused(known, detail)
-        self.try_again(RetryReason.BACKEND_FAILED)
+            raise self.make_error(known, detail)
+        self.request_retry(RetryReason.BACKEND_FAILED)
 
-    def try_again(self, reason: RetryReason) -> None:
-        """Have the scheduler decide on another attempt.
+    def request_retry(self, reason: RetryReason) -> None:
+        """Request another attempt from the scheduler.
 
         Raises
         ------
         RefusedError
-            If there is to be none.
+            If the scheduler allows no other attempt.
         """
         now = self.context.now()
         request_id = self.request.view.request_id
-        self._follow(self.context.scheduler.lost(request_id, reason, now))
+        self._apply_decision(
+            self.context.scheduler.lost(request_id, reason, now)
+        )
 
-    def refused(self, reason: RefusalReason, detail: str) -> RefusedError:
-        """Return the final answer for a reason found here."""
+    def make_error(self, reason: RefusalReason, detail: str) -> RefusedError:
+        """Return the error for a reason that the exchange found."""
         return RefusedError(
             reason,
             detail,
             execution=self.execution,
             this_call=self.this_call,
-            retry_after=_COME_BACK_SECONDS,
+            retry_after=_RETRY_AFTER_SECONDS,
         )
 
-    def refused_by(self, refusal: Refusal) -> RefusedError:
-        """Return the final answer for a decision or an endpoint's reply."""
+    def error_from_refusal(self, refusal: Refusal) -> RefusedError:
+        """Return the error for a refusal by the scheduler or an endpoint."""
         return RefusedError(
             refusal.reason,
             refusal.detail,
@@ -180,16 +185,16 @@
         )
 
     def cancel_run(self, reason: CancelReason) -> None:
-        """Tell the endpoint process that nobody waits for the answer."""
+        """Send a cancellation to the endpoint process if the run may exist."""
         if self.link is not None and self.execution != Execution.NOT_RUN:
             self.link.post(Cancel(self.request.view.request_id, reason))
 
     @property
-    def _may_run_again(self) -> bool:
+    def _is_retry_allowed(self) -> bool:
         is_clear = self.execution == Execution.NOT_RUN
         return is_clear or self.request.view.idempotent
 
-    def _follow(self, decision: Requeued | Refusal) -> None:
+    def _apply_decision(self, decision: Requeued | Refusal) -> None:
         if isinstance(decision, Refusal):
-            raise self.refused_by(decision)
-        self.report.retried(decision.reason)
+            raise self.error_from_refusal(decision)
+        self.telemetry.record_retry(decision.reason)
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/stream.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/stream.py
@@ -1,4 +1,4 @@
-"""Receiving an answer from an endpoint process and handing it on."""
+"""Receiving an answer from an endpoint process and relaying it."""
 
 from sycamore_core.ids import Attempt, RequestId
 from sycamore_core.messages import Ack, Attach, Close, Frame, RunReport
@@ -9,35 +9,35 @@
 from ..fleet import EndpointLink
 from .events import EndpointLost
 from .mailbox import Mailbox
-from .waiting import next_of
+from .waiting import next_event_of
 
-#: After this long without a frame the endpoint process is asked again, as the
-#: last packet may have been lost; a prompt's prefill takes longer than that,
-#: so asking costs one small message a request and period.
-ASK_AGAIN_SECONDS = 2.0
-#: A gap is asked for again after this long; frames of one connection arrive
-#: in order, so a gap means a lost packet.
-GAP_SECONDS = 0.2
-#: How long a silent endpoint process may take to come back with the rest.
-SILENCE_PATIENCE_SECONDS = 5.0
+#: Time without a frame after which the entry requests the rest again, since
+#: the last packet may have been lost. The prefill of a prompt can take longer,
+#: so the cost is one small message a request and period.
+FRAME_TIMEOUT_SECONDS = 2.0
+#: Time after which the entry requests missing frames again. Frames of one
+#: connection arrive in order, so a gap means a lost packet.
+GAP_TIMEOUT_SECONDS = 0.2
+#: Silence of the endpoint process after which the answer counts as lost.
+SILENCE_TIMEOUT_SECONDS = 5.0
 
 
-_ABSENT = frozenset((RunState.NEVER_SEEN, RunState.WITHDRAWN))
+_ABSENT_STATES = frozenset((RunState.NEVER_SEEN, RunState.WITHDRAWN))
 
 
 class AnswerLostError(EntryError):
-    """The endpoint process that ran the request is gone with its answer."""
+    """The endpoint process that ran the request is lost with its answer."""
 
 
 class AnswerStream:
-    """The answer of an attempt that runs.
+    """Receives the answer of a running attempt.
 
     Attributes
     ----------
-    has_first
-        Whether the first frame has been handed on.
-    asked_again
-        How many times frames were asked for again.
+    has_first_frame
+        Whether the first frame has been written to the sink.
+    resend_requests
+        Number of times that frames were requested again.
     """
 
     def __init__(
@@ -52,76 +52,86 @@
         self.request_id = request_id
         self.mailbox = mailbox
         self.assembler = AnswerAssembler(attempt, after)
-        self.has_first = False
-        self.asked_again = 0
+        self.has_first_frame = False
+        self.resend_requests = 0
         self._silent_seconds: float = 0
 
     async def receive(self, sink: AnswerSink) -> Close:
-        """Hand all frames on to `sink` and return the closing one's content.
+        """Write all frames to `sink` and return the closing information.
 
         Raises
         ------
         AnswerLostError
-            If the rest of the answer cannot come any more.
-        CutAnswerError
-            If the frames do not make up a whole answer.
+            If the rest of the answer can no longer arrive.
+        IncompleteAnswerError
+            If the frames do not form a complete answer.
         """
-        kinds = (Frame, RunReport, EndpointLost)
+        event_types = (Frame, RunReport, EndpointLost)
         while True:
-            wait = self._wait_seconds()
-            event = await next_of(self.mailbox, kinds, wait)
+            timeout = self._event_timeout()
+            event = await next_event_of(self.mailbox, event_types, timeout)
             if isinstance(event, Frame):
-                close = await self._take(event, sink)
+                close = await self._receive_frame(event, sink)
                 if close is not None:
                     return close
             elif event is None:
-                self._ask_again(wait)
+                self._request_resend(timeout)
             else:
                 self._check_alive(event)
 
-    async def _take(self, frame: Frame, sink: AnswerSink) -> Close | None:
+    async def _receive_frame(
+        self, frame: Frame, sink: AnswerSink
+    ) -> Close | None:
         self._silent_seconds = 0
-        arrived = (frame, *self.mailbox.following_frames())
+        received = (frame, *self.mailbox.pop_frames())
         ready = [
-            in_order for one in arrived for in_order in self.assembler.add(one)
+            in_order
+            for new_frame in received
+            for in_order in self.assembler.add(new_frame)
         ]
         if not ready:
             return None
         close = ready[-1].close
-        pieces = ready if close is None else ready[:-1]
-        if pieces:
-            await sink.frames(pieces)
-            self.has_first = True
-        # Acknowledged only now that the caller has room for more: the
-        # endpoint process stops reading from the engine when too much is
-        # not acknowledged, so a slow caller fills no process's memory.
+        content = ready if close is None else ready[:-1]
+        if content:
+            await sink.write_frames(content)
+            self.has_first_frame = True
+        # The frames are acknowledged only after the caller's connection has
+        # accepted them. The endpoint process stops reading from the engine if
+        # too much is unacknowledged, so a slow caller does not fill the memory
+        # of a process.
         last = ready[-1].sequence
         self.link.post(Ack(self.request_id, last), urgent=False)
         return close
 
-    def _wait_seconds(self) -> float:
-        return GAP_SECONDS if self.assembler.has_gap else ASK_AGAIN_SECONDS
+    def _event_timeout(self) -> float:
+        return (
+            GAP_TIMEOUT_SECONDS
+            if self.assembler.has_gap
+            else FRAME_TIMEOUT_SECONDS
+        )
 
-    def _ask_again(self, waited: float) -> None:
+    def _request_resend(self, waited: float) -> None:
         if not self.link.is_heard:
             self._silent_seconds += waited
-        if self._silent_seconds > SILENCE_PATIENCE_SECONDS:
+        if self._silent_seconds > SILENCE_TIMEOUT_SECONDS:
             raise AnswerLostError(self.link.endpoint)
-        self.asked_again += 1
-        self.link.post(Attach(self.request_id, self.assembler.handed_on))
+        self.resend_requests += 1
+        self.link.post(Attach(self.request_id, self.assembler.last_delivered))
 
     def _check_alive(self, event: RunReport | EndpointLost) -> None:
         if isinstance(event, EndpointLost):
             if event.restarted:
                 raise AnswerLostError(event.endpoint)
             return
-        # A caller that came back had all endpoints of the service asked; that
-        # the others have never seen the request says nothing of this one.
-        is_mine = event.endpoint == self.link.endpoint
-        if is_mine and event.state in _ABSENT:
+        # For a caller that reconnected, all endpoints of the service were
+        # queried. Reports of other endpoints that have never seen the request
+        # do not concern this endpoint.
+        is_own_endpoint = event.endpoint == self.link.endpoint
+        if is_own_endpoint and event.state in _ABSENT_STATES:
             raise AnswerLostError(self.link.endpoint)
 
 
-def is_whole(close: Close) -> bool:
-    """Whether an answer ended as it should."""
+def is_complete(close: Close) -> bool:
+    """Return whether an answer completed."""
     return close.outcome == Outcome.COMPLETE
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/reports.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/telemetry.py
@@ -1,4 +1,4 @@
-"""What an exchange tells of itself: metrics, logs and records."""
+"""Metrics, log events and records of an exchange."""
 
 from collections.abc import Sequence
 
@@ -15,13 +15,13 @@
 from .context import EntryContext
 
 
-class ExchangeReport:
-    """Reports one request; no text of its prompt is kept or logged.
+class ExchangeTelemetry:
+    """Records one request; prompt text is neither stored nor logged.
 
     Attributes
     ----------
     first_token_seconds
-        Time from the arrival to the first frame; None until it came.
+        Time from the arrival to the first frame; None before that frame.
     """
 
     def __init__(self, context: EntryContext, request: CallerRequest) -> None:
@@ -30,18 +30,18 @@
         self.arrived_at = context.clock.wall()
         self.first_token_seconds: float | None = None
         self._is_offered = False
-        self._is_left = False
+        self._has_caller_left = False
 
-    def watch(self, sink: AnswerSink) -> 'WatchedSink':
-        """Return a sink that notes the first frame on its way to `sink`."""
-        return WatchedSink(sink, self)
+    def observe(self, sink: AnswerSink) -> 'ObservedSink':
+        """Return a sink that records the first frame and writes to `sink`."""
+        return ObservedSink(sink, self)
 
-    def left(self) -> None:
-        """Note that the caller went away."""
-        self._is_left = True
+    def record_caller_left(self) -> None:
+        """Record that the caller disconnected."""
+        self._has_caller_left = True
 
-    def offered(self) -> None:
-        """Note that the request is offered; its wait ends the first time."""
+    def record_offered(self) -> None:
+        """Record an offer; the first one ends the queueing time."""
         if self._is_offered:
             return
         self._is_offered = True
@@ -49,8 +49,8 @@
         wait = self.context.now() - view.arrival
         self.context.metrics.times.queue_wait(view.band, wait)
 
-    def first_frame(self) -> None:
-        """Note that the first frame has reached the caller."""
+    def record_first_frame(self) -> None:
+        """Record that the first frame has reached the caller."""
         now = self.context.now()
         view = self.request.view
         seconds = now - view.arrival
@@ -58,14 +58,14 @@
         self.context.scheduler.first_token(view.request_id, now)
         self.context.metrics.first_token(view.band, seconds)
 
-    def settle(self) -> None:
-        """Count the request under its target, met or missed.
+    def record_attainment(self) -> None:
+        """Count the target of the request as met or missed.
 
-        A request that its caller gave up counts as missed once its target
-        time is over: the caller may have left because it waited too long.
+        If the caller disconnects after the target time, the request counts
+        as missed, since the caller may have left because of the long wait.
         """
         target = self.request.target
-        if target is None or self._is_given_up_early(target):
+        if target is None or self._left_before_target(target):
             return
         view = self.request.view
         self.context.attainment.record(
@@ -74,8 +74,8 @@
             self.first_token_seconds,
         )
 
-    def retried(self, reason: RetryReason) -> None:
-        """Note that the request will be offered again."""
+    def record_retry(self, reason: RetryReason) -> None:
+        """Record that the request will be offered again."""
         self.context.metrics.retried(reason)
         self.context.log.info(
             'request_retried',
@@ -83,32 +83,32 @@
             reason=reason.value,
         )
 
-    def frames_asked_again(self, times: int) -> None:
-        """Note how many times frames were asked for again."""
-        for _ in range(times):
+    def record_resend_requests(self, count: int) -> None:
+        """Record the number of repeated requests for frames."""
+        for _ in range(count):
             self.context.metrics.retried(RetryReason.FRAME_GAP)
 
-    def closed(
+    def record_closed(
         self,
         close: Close,
         endpoint: EndpointId | None,
         attempt: Attempt,
     ) -> None:
-        """Note that the caller has the end of its answer."""
-        self._note_gap(close)
+        """Record that the caller has received the end of the answer."""
+        self._record_token_gap(close)
         if close.outcome == Outcome.COMPLETE:
             return
         reason = close.reason or RefusalReason.BACKEND_FAILED
         failed = RefusedError(reason, execution=Execution.RAN)
-        self.refused(failed, endpoint, attempt)
+        self.record_refused(failed, endpoint, attempt)
 
-    def refused(
+    def record_refused(
         self,
         refused: RefusedError,
         endpoint: EndpointId | None,
         attempt: Attempt,
     ) -> None:
-        """Count, log and record that the caller has no whole answer."""
+        """Count, log and record that the caller has no complete answer."""
         view = self.request.view
         self.context.metrics.refused(refused.reason)
         self.context.log.info(
@@ -137,12 +137,16 @@
             ),
         )
 
-    def _is_given_up_early(self, target: Target) -> bool:
+    def _left_before_target(self, target: Target) -> bool:
         waited = self.context.now() - self.request.view.arrival
         is_early = waited < target.first_token_seconds
-        return self._is_left and self.first_token_seconds is None and is_early
+        return (
+            self._has_caller_left
+            and self.first_token_seconds is None
+            and is_early
+        )
 
-    def _note_gap(self, close: Close) -> None:
+    def _record_token_gap(self, close: Close) -> None:
         if self.first_token_seconds is None or close.output_tokens < 2:
             return
         since_arrival = self.context.now() - self.request.view.arrival
@@ -151,37 +155,37 @@
         self.context.metrics.times.token_gap(streamed / gaps)
 
 
-class WatchedSink(AnswerSink):
-    """Hands everything on and reports the first frame."""
+class ObservedSink(AnswerSink):
+    """Delegates to another sink and records the first frame."""
 
-    def __init__(self, sink: AnswerSink, report: ExchangeReport) -> None:
+    def __init__(self, sink: AnswerSink, telemetry: ExchangeTelemetry) -> None:
         self._sink = sink
-        self._report = report
+        self._telemetry = telemetry
         self._is_first = True
 
-    async def admitted(self, request_id: RequestId) -> None:
-        """Hand on."""
-        await self._sink.admitted(request_id)
+    async def start(self, request_id: RequestId) -> None:
+        """Start the answer."""
+        await self._sink.start(request_id)
 
-    async def frames(self, frames: Sequence[Frame]) -> None:
-        """Hand on and report the first frame."""
-        await self._sink.frames(frames)
+    async def write_frames(self, frames: Sequence[Frame]) -> None:
+        """Write the frames and record the first one."""
+        await self._sink.write_frames(frames)
         if self._is_first:
             self._is_first = False
-            self._report.first_frame()
+            self._telemetry.record_first_frame()
 
     async def close(self, close: Close) -> None:
-        """Hand on."""
+        """Close the answer."""
         await self._sink.close(close)
 
-    def abandon(self) -> None:
-        """Hand on."""
-        self._sink.abandon()
+    def abort(self) -> None:
+        """Abort the answer."""
+        self._sink.abort()
 
     async def refuse(
         self,
         request_id: RequestId,
         refused: RefusedError,
     ) -> None:
-        """Hand on."""
+        """Refuse the request."""
         await self._sink.refuse(request_id, refused)
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/tests/builders.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/tests/builders.py
@@ -31,36 +31,36 @@
 from ...answers import AnswerSink
 from ...errors import RefusedError
 from ...fleet import EndpointLink, EndpointLinks
-from ...records import RecordBook
+from ...records import RecordRegistry
 from .. import CallerRequest, EntryContext, ExchangeEvent, ExchangeRegistry
 
 REQUEST = RequestId('request')
 SERVICE = ServiceId('chat')
 WORKSPACE = WorkspaceId('school')
-Answer = Callable[[Message], Iterable[ExchangeEvent]]
+ReplyFunction = Callable[[Message], Iterable[ExchangeEvent]]
 
 
 class ScriptedPeer:
-    """Answers what is posted to it by a function, at once."""
+    """Delivers the replies of a function to each message, immediately."""
 
     def __init__(
         self,
         endpoint: EndpointId,
         registry: ExchangeRegistry,
-        answer: Answer,
+        reply_to: ReplyFunction,
     ) -> None:
         self.endpoint = endpoint
         self.registry = registry
-        self.answer = answer
+        self.reply_to = reply_to
         self.posted: list[Message] = []
 
     def post(self, message: Message, *, urgent: bool = True) -> bool:
         self.posted.append(message)
-        for event in self.answer(message):
+        for event in self.reply_to(message):
             self.registry.deliver(REQUEST, self._located(event))
         return True
 
-    def posted_of(self, kind: type) -> list[Message]:
+    def posted_of_type(self, kind: type) -> list[Message]:
         return [message for message in self.posted if isinstance(message, kind)]
 
     def _located(self, event: ExchangeEvent) -> ExchangeEvent:
@@ -85,25 +85,25 @@
 
 
 class RecordingSink(AnswerSink):
-    """Keeps what the caller receives."""
+    """Records what the caller receives."""
 
     def __init__(self) -> None:
         self.pieces: list[Frame] = []
         self.closed: Close | None = None
-        self.is_abandoned = False
+        self.is_aborted = False
         self.refused: RefusedError | None = None
 
-    async def admitted(self, request_id: RequestId) -> None:
-        """Nothing to keep."""
+    async def start(self, request_id: RequestId) -> None:
+        """Record nothing."""
 
-    async def frames(self, frames: Sequence[Frame]) -> None:
+    async def write_frames(self, frames: Sequence[Frame]) -> None:
         self.pieces.extend(frames)
 
     async def close(self, close: Close) -> None:
         self.closed = close
 
-    def abandon(self) -> None:
-        self.is_abandoned = True
+    def abort(self) -> None:
+        self.is_aborted = True
 
     async def refuse(
         self,
@@ -113,8 +113,8 @@
         self.refused = refused
 
 
-class StillLinks(EndpointLinks):
-    """Links that no heartbeat keeps and no silence ends."""
+class StaticLinks(EndpointLinks):
+    """Links without heartbeats and without silence detection."""
 
     def __init__(self) -> None:
         self.links = {}
@@ -150,9 +150,9 @@
     return EntryContext(
         clock=SystemClock(),
         scheduler=NaiveScheduler(),
-        links=StillLinks(),
+        links=StaticLinks(),
         registry=ExchangeRegistry(),
-        records=RecordBook(),
+        records=RecordRegistry(),
         attainment=Attainment(),
         metrics=Metrics('test'),
         log=Log('test'),
@@ -162,10 +162,10 @@
 def add_endpoint(
     context: EntryContext,
     name: str,
-    answer: Answer,
+    reply_to: ReplyFunction,
 ) -> ScriptedPeer:
     endpoint = EndpointId(name)
-    peer = ScriptedPeer(endpoint, context.registry, answer)
+    peer = ScriptedPeer(endpoint, context.registry, reply_to)
     context.links.links[endpoint] = EndpointLink(
         endpoint=endpoint,
         address=name,
@@ -186,7 +186,7 @@
 
 
 async def dispatch_until(context: EntryContext, task: asyncio.Task) -> None:
-    """Run the dispatcher's work until an exchange is over."""
+    """Dispatch until the task of an exchange is done."""
     async with asyncio.timeout(20):
         while not task.done():
             for decision in context.scheduler.dispatch(context.now()):
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/tests/test_attach.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/tests/test_attach.py
@@ -1,4 +1,4 @@
-"""Tests of callers that come back for their answer."""
+"""Tests of callers that reconnect for their answer."""
 
 import asyncio
 import zlib
@@ -45,8 +45,8 @@
 )
 
 
-def has_answer(message: Message) -> Events:
-    """Send one frame each time that the answer is asked for."""
+def serve_rest_of_answer(message: Message) -> Events:
+    """Send one frame for each request for the answer."""
     if not isinstance(message, Attach):
         return ()
     close = Close(Outcome.COMPLETE, 2, zlib.crc32(b'onetwo'), 2)
@@ -65,7 +65,7 @@
     return (report, *frames[following : following + 1])
 
 
-def never_saw_it(message: Message) -> Events:
+def report_never_seen(message: Message) -> Events:
     if not isinstance(message, Attach):
         return ()
     return (
@@ -78,7 +78,7 @@
     )
 
 
-def come_back(context: EntryContext, after: int = -1) -> RecordingSink:
+def attach_caller(context: EntryContext, after: int = -1) -> RecordingSink:
     fleet = FleetSettings(
         version=SettingsVersion(1),
         name='test',
@@ -98,29 +98,28 @@
     return sink
 
 
-def test_rest_comes_although_other_endpoints_never_saw_it() -> None:
-    """An entry dies in the middle of an answer, its caller asks another one.
+def test_rest_arrives_although_other_endpoints_never_saw_it() -> None:
+    """An entry fails during an answer, and the caller asks another entry.
 
-    That entry asks every endpoint of the service. Those that know nothing
-    answer as well, some of them after the one that has the answer; the
-    caller must still get the rest of it.
+    That entry queries all endpoints of the service. Reports of endpoints that
+    do not know the request, also late ones, must not end the answer.
     """
     context = make_context()
-    add_endpoint(context, 'a', has_answer)
-    add_endpoint(context, 'b', never_saw_it)
-    add_endpoint(context, 'c', never_saw_it)
-    sink = come_back(context, after=0)
+    add_endpoint(context, 'a', serve_rest_of_answer)
+    add_endpoint(context, 'b', report_never_seen)
+    add_endpoint(context, 'c', report_never_seen)
+    sink = attach_caller(context, after=0)
     assert [frame.payload for frame in sink.pieces] == [b'two']
     assert sink.closed is not None
 
 
-def test_request_that_nobody_knows_is_not_called_not_run() -> None:
-    """The endpoint that ran the request was replaced since.
+def test_unknown_request_is_not_reported_as_not_run() -> None:
+    """The endpoint that ran the request has been replaced.
 
-    Those that are there now cannot tell whether it ran.
+    The present endpoints cannot know whether the request ran.
     """
     context = make_context()
-    add_endpoint(context, 'a', never_saw_it)
-    sink = come_back(context)
+    add_endpoint(context, 'a', report_never_seen)
+    sink = attach_caller(context)
     assert sink.refused.reason == RefusalReason.UNKNOWN_REQUEST
     assert sink.refused.execution == Execution.UNKNOWN
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/tests/test_exchange.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of what a caller is told when attempts fail."""
+"""Tests of the result that a caller receives when attempts fail."""
 
 import asyncio
 import itertools
@@ -39,8 +39,8 @@
 Events = Iterable[ExchangeEvent]
 
 
-def serve_whole(message: Message) -> Events:
-    """Behave as an endpoint process that runs what it is offered."""
+def serve_complete_answer(message: Message) -> Events:
+    """Act as an endpoint process that runs each offered request."""
     if not isinstance(message, Offer):
         return ()
     close = Close(Outcome.COMPLETE, 1, zlib.crc32(b'hello'), 1)
@@ -79,7 +79,7 @@
 
 def die_after_first_frame(message: Message) -> Events:
     if isinstance(message, Offer):
-        accepted, first, _ = serve_whole(message)
+        accepted, first, _ = serve_complete_answer(message)
         lost = EndpointLost(EndpointId('a'), restarted=True)
         return (accepted, first, lost)
     return ()
@@ -110,7 +110,7 @@
 
 def test_answer_reaches_its_caller() -> None:
     context = make_context()
-    add_endpoint(context, 'a', serve_whole)
+    add_endpoint(context, 'a', serve_complete_answer)
     sink = run_exchange(context, idempotent=True)
     assert [frame.payload for frame in sink.pieces] == [b'hello']
     assert sink.closed.outcome == Outcome.COMPLETE
@@ -120,58 +120,58 @@
 def test_declined_request_is_offered_again() -> None:
     context = make_context()
     add_endpoint(context, 'a', decline)
-    add_endpoint(context, 'b', serve_whole)
+    add_endpoint(context, 'b', serve_complete_answer)
     sink = run_exchange(context, idempotent=False)
     assert sink.closed is not None
 
 
 def test_lost_reply_is_withdrawn_before_another_attempt() -> None:
-    """The reply to an offer is lost on the way back to the entry.
+    """The reply to an offer is lost in transit.
 
-    A deposit must neither be run twice nor be given up although it could
-    run, so the first endpoint is asked to bar it before it goes elsewhere.
+    A non-idempotent request must not run twice, so the entry withdraws it
+    from the first endpoint before it offers the request elsewhere.
     """
     context = make_context()
     first = add_endpoint(context, 'a', lose_reply_then_bar)
     second = add_endpoint(context, 'b', lose_reply_then_bar)
-    third = add_endpoint(context, 'c', serve_whole)
+    third = add_endpoint(context, 'c', serve_complete_answer)
     sink = run_exchange(context, idempotent=False)
     assert sink.closed is not None
     for silent in (first, second):
-        offers = len(silent.posted_of(Offer))
-        assert len(silent.posted_of(Withdraw)) == offers
-    assert len(third.posted_of(Offer)) == 1
+        offers = len(silent.posted_of_type(Offer))
+        assert len(silent.posted_of_type(Withdraw)) == offers
+    assert len(third.posted_of_type(Offer)) == 1
 
 
 def test_reserved_id_is_offered_again_and_never_barred() -> None:
     """The reply to an offer under a reserved id is lost.
 
-    The id may run at that endpoint only. To bar it would make the caller
-    reserve again; the same offer sent twice is answered twice the same.
+    The id can run at that endpoint only, and a withdrawal would force the
+    caller to reserve again. A repeated offer receives the same reply.
     """
     context = make_context()
-    tries = itertools.count()
+    offers_seen = itertools.count()
 
     def lose_first_reply(message: Message) -> Events:
-        if isinstance(message, Offer) and not next(tries):
+        if isinstance(message, Offer) and not next(offers_seen):
             return ()
-        return serve_whole(message)
+        return serve_complete_answer(message)
 
     peer = add_endpoint(context, 'a', lose_first_reply)
     sink = run_exchange(context, idempotent=False, bound=True)
     assert sink.closed is not None
-    assert not peer.posted_of(Withdraw)
+    assert not peer.posted_of_type(Withdraw)
 
 
-def test_doubt_about_a_key_is_told_apart_from_this_call() -> None:
-    """An endpoint has restarted since a caller made its key.
+def test_unknown_state_of_a_key_is_separate_from_this_call() -> None:
+    """An endpoint has restarted since a caller created its key.
 
-    Whether an earlier call ran it nobody can tell, but this one did not; a
-    caller that has made no earlier call may use a reserved id instead.
+    An earlier call may have run the request, but this call did not. A caller
+    without an earlier call can use a reserved id instead.
     """
     context = make_context()
 
-    def doubt(message: Message) -> Events:
+    def decline_key_in_doubt(message: Message) -> Events:
         if not isinstance(message, Offer):
             return ()
         return (
@@ -183,7 +183,7 @@
             ),
         )
 
-    add_endpoint(context, 'a', doubt)
+    add_endpoint(context, 'a', decline_key_in_doubt)
     sink = run_exchange(context, idempotent=False, bound=True)
     assert sink.refused.execution == Execution.UNKNOWN
     assert sink.refused.this_call == Execution.NOT_RUN
@@ -192,8 +192,8 @@
 def test_restart_leaves_the_outcome_unknown() -> None:
     """The endpoint process is killed between an offer and its reply.
 
-    Nobody can tell whether the deposit was recorded. The caller must be told
-    just that, and the deposit must not be offered to another endpoint.
+    The caller must receive the outcome "unknown", and the request must not be
+    offered to another endpoint.
     """
     context = make_context()
     add_endpoint(context, 'a', restart_after_offer)
@@ -203,17 +203,17 @@
 
 
 def test_idempotent_request_survives_a_restart() -> None:
-    """The endpoint process is killed before the first token of a chat turn.
+    """The endpoint process is killed before the first token.
 
-    The guest must still get an answer, from another endpoint.
+    The caller must still get an answer, from another attempt.
     """
     context = make_context()
-    tries = itertools.count()
+    offers_seen = itertools.count()
 
     def restart_once(message: Message) -> Events:
-        if isinstance(message, Offer) and not next(tries):
+        if isinstance(message, Offer) and not next(offers_seen):
             return restart_after_offer(message)
-        return serve_whole(message)
+        return serve_complete_answer(message)
 
     add_endpoint(context, 'a', restart_once)
     sink = run_exchange(context, idempotent=True)
@@ -223,8 +223,8 @@
 def test_answer_that_began_is_not_continued_by_another_run() -> None:
     """The endpoint process is killed in the middle of an answer.
 
-    A second run would give other words; the caller would read the beginning
-    of one answer and the end of another.
+    A second run would produce another text, so the caller would receive parts
+    of two different answers.
     """
     context = make_context()
     add_endpoint(context, 'a', die_after_first_frame)
@@ -235,33 +235,32 @@
     assert sink.refused.reason == RefusalReason.OUTCOME_UNKNOWN
 
 
-def test_gap_is_asked_for_again() -> None:
+def test_missing_frames_are_requested_again() -> None:
     """A packet with the middle of an answer is lost.
 
-    The rest waits at the entry until the missing frame came; the caller sees
-    a short pause and nothing else.
+    The entry holds back the later frames until the missing one has arrived.
     """
     context = make_context()
-    whole = tuple(serve_whole(make_offer(Attempt(1))))
+    complete = tuple(serve_complete_answer(make_offer(Attempt(1))))
 
     def lose_first_frame(message: Message) -> Events:
         if isinstance(message, Offer):
-            return (whole[0], whole[2])
+            return (complete[0], complete[2])
         if isinstance(message, Attach):
-            return whole[message.after + 2 :]
+            return complete[message.after + 2 :]
         return ()
 
     peer = add_endpoint(context, 'a', lose_first_frame)
     sink = run_exchange(context, idempotent=True)
     assert [frame.payload for frame in sink.pieces] == [b'hello']
-    assert peer.posted_of(Attach)
+    assert peer.posted_of_type(Attach)
 
 
-def test_superseded_connection_is_broken_off() -> None:
+def test_superseded_connection_is_aborted() -> None:
     """A caller sends its key again while the first call still runs.
 
-    The answer goes to the second connection. The first must not end as if it
-    had been answered with nothing.
+    The answer goes to the second connection. The first connection must not
+    end like a complete, empty answer.
     """
     context = make_context()
     add_endpoint(context, 'a', lambda message: ())
@@ -275,7 +274,7 @@
         await older
 
     asyncio.run(main())
-    assert first.is_abandoned
+    assert first.is_aborted
     assert first.refused is None
     assert second.refused is not None
 
@@ -283,8 +282,8 @@
 def test_time_limit_cancels_the_run() -> None:
     """An endpoint accepts a request and then sends nothing.
 
-    The caller gets its final answer at the time limit, and the run is
-    cancelled so that its memory comes back.
+    The caller gets a refusal at the time limit, and the entry cancels the run
+    to free its memory.
     """
     context = make_context()
 
@@ -297,10 +296,10 @@
     sink = run_exchange(context, idempotent=True, seconds=0.3)
     assert sink.refused.reason == RefusalReason.DEADLINE_PASSED
     assert sink.refused.execution == Execution.RAN
-    assert peer.posted_of(Cancel)
+    assert peer.posted_of_type(Cancel)
 
 
-def test_request_that_waited_in_vain_was_not_run() -> None:
+def test_request_that_expires_in_the_queue_was_not_run() -> None:
     context = make_context()
     sink = run_exchange(context, idempotent=False, seconds=0.2)
     assert sink.refused.reason == RefusalReason.DEADLINE_PASSED
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/waiting.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/waiting.py
@@ -11,16 +11,16 @@
 
 
 class SupersededError(EntryError):
-    """The caller came back on another connection; this one ends silently."""
+    """The caller reconnected; the older connection ends without an answer."""
 
 
 async def next_event(mailbox: Mailbox, seconds: float) -> ExchangeEvent | None:
-    """Return the next event, or None after `seconds`.
+    """Return the next event, or None after a timeout in seconds.
 
     Raises
     ------
     SupersededError
-        If another exchange has taken the request over.
+        If another exchange has superseded this one.
     """
     try:
         async with asyncio.timeout(seconds):
@@ -32,19 +32,19 @@
     return event
 
 
-async def next_of(
+async def next_event_of(
     mailbox: Mailbox,
-    kinds: tuple[type[_Event], ...],
+    event_types: tuple[type[_Event], ...],
     seconds: float,
 ) -> _Event | None:
-    """Return the next event of the given kinds, or None after `seconds`.
+    """Return the next event of the given types, or None after a timeout.
 
-    Events of other kinds are late ones of an earlier step and are dropped.
+    Events of other types are late events of an earlier step and are dropped.
     """
     loop = asyncio.get_running_loop()
-    until = loop.time() + seconds
-    while loop.time() < until:
-        event = await next_event(mailbox, until - loop.time())
-        if isinstance(event, kinds):
+    deadline = loop.time() + seconds
+    while loop.time() < deadline:
+        event = await next_event(mailbox, deadline - loop.time())
+        if isinstance(event, event_types):
             return event
     return None
--- a/packages/sycamore-entry/src/sycamore_entry/fleet/__init__.py
+++ b/packages/sycamore-entry/src/sycamore_entry/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The endpoints that an entry talks to, and what it last heard of them."""
+"""Links of an entry to the endpoints, with their latest load reports."""
 
 from .link import EndpointLink
 from .links import EndpointLinks, LinkEvents
--- a/packages/sycamore-entry/src/sycamore_entry/fleet/link.py
+++ b/packages/sycamore-entry/src/sycamore_entry/fleet/link.py
@@ -12,17 +12,17 @@
 
 @dataclasses.dataclass
 class EndpointLink:
-    """One endpoint of the settings and its last report.
+    """One endpoint of the settings and its latest report.
 
     Attributes
     ----------
     report
         None while the endpoint is silent.
-    wanted_until
+    keep_until
         Monotonic time until which a link beyond the subset is kept, in
-        seconds.
-    heard
-        Set by each report.
+        seconds; 0 for a link of the subset.
+    report_received
+        Set by each report; cleared when the endpoint falls silent.
     """
 
     endpoint: EndpointId
@@ -31,46 +31,48 @@
     incarnation: Incarnation = Incarnation(0)
     report: LoadReport | None = None
     reported_at: float = 0
-    wanted_until: float = 0
-    heard: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    keep_until: float = 0
+    report_received: asyncio.Event = dataclasses.field(
+        default_factory=asyncio.Event
+    )
 
     @property
     def is_heard(self) -> bool:
-        """Whether the endpoint has reported and was not found silent since."""
+        """Whether the endpoint has reported and is not silent."""
         return self.report is not None
 
     def post(self, message: Message, *, urgent: bool = True) -> bool:
         """Queue a message for the endpoint process."""
         return self.peer.post(message, urgent=urgent)
 
-    def take(self, report: LoadReport, now: float) -> None:
-        """Keep a report."""
+    def apply_report(self, report: LoadReport, now: float) -> None:
+        """Store the latest report."""
         self.incarnation = report.incarnation
         self.report = report
         self.reported_at = now
-        self.heard.set()
+        self.report_received.set()
 
-    def fall_silent(self) -> None:
-        """Note that the endpoint has not reported for too long."""
+    def mark_silent(self) -> None:
+        """Mark the endpoint as silent."""
         self.report = None
-        self.heard.clear()
+        self.report_received.clear()
 
-    def is_older(self, report: LoadReport) -> bool:
-        """Whether a report is of a process that was replaced.
+    def is_outdated(self, report: LoadReport) -> bool:
+        """Return whether a report comes from a replaced process.
 
-        A process that was paused and replaced may wake up. A replacement on
-        an instance whose clock is behind has a lower number as well; it is
-        taken once the one before it has fallen silent.
+        A suspended process that was replaced may resume. A replacement on an
+        instance whose clock is behind also has a lower incarnation. Its
+        reports are accepted once the earlier process is silent.
         """
         return self.is_heard and report.incarnation < self.incarnation
 
     def shows_restart(self, report: LoadReport) -> bool:
-        """Whether a report is of another process than those before."""
+        """Return whether a report comes from another incarnation."""
         return self.incarnation not in {0, report.incarnation}
 
 
-def view_of(report: LoadReport, reported_at: float) -> EndpointView:
-    """Return a report as the decisions see it."""
+def make_view(report: LoadReport, reported_at: float) -> EndpointView:
+    """Return the view of an endpoint that the decisions use."""
     return EndpointView(
         endpoint=report.endpoint,
         service=report.service,
--- a/packages/sycamore-entry/src/sycamore_entry/fleet/links.py
+++ b/packages/sycamore-entry/src/sycamore_entry/fleet/links.py
@@ -1,8 +1,8 @@
 """Links to the endpoint processes: heartbeats out, load reports in.
 
-A link is a hint. An endpoint that is silent is not offered anything, and an
-endpoint that answers again is; what an endpoint promised is known only to the
-endpoint process itself.
+The state of a link is only a hint. A silent endpoint gets no offers until it
+reports again. Only the endpoint process itself knows which requests it has
+accepted.
 """
 
 import abc
@@ -18,53 +18,53 @@
 from sycamore_core.settings import EndpointSettings, FleetSettings
 from sycamore_core.transport import Node
 
-from .link import EndpointLink, view_of
+from .link import EndpointLink, make_view
 
-#: Shortest time between two heartbeats to an endpoint, in seconds.
-HEARTBEAT_SECONDS = 1.0
-#: Heartbeats a second over all links. A heartbeat and its report cost an entry
-#: 0.8 ms of processor time and 290 bytes (``benchmarks/capacity.py links``),
-#: so 32 a second are 2.7 % of a core and 9.3 KB/s, whatever the fleet's size.
-HEARTBEATS_A_SECOND = 32
-#: An endpoint is silent after this many times the time between heartbeats:
-#: two lost packets in a row do not make it so.
-SILENT_BEATS = 3.5
-#: How long a link beyond the subset is kept after it was last asked for.
-ON_DEMAND_SECONDS = 60.0
-#: How long the first report of such an endpoint is waited for. It takes one
-#: round trip, a few milliseconds.
-REACH_SECONDS = 1.0
+#: Minimum interval between two heartbeats to an endpoint.
+MIN_HEARTBEAT_INTERVAL_SECONDS = 1.0
+#: Maximum rate of heartbeats over all links. A heartbeat and its report cost
+#: an entry 0.8 ms of processor time and 290 bytes (``benchmarks/capacity.py
+#: links``), so 32 a second use 2.7 % of a core and 9.3 KB/s for any fleet size.
+MAX_HEARTBEATS_PER_SECOND = 32
+#: An endpoint is silent after this number of heartbeat intervals without a
+#: report. Two consecutive lost packets do not suffice.
+SILENCE_INTERVALS = 3.5
+#: Time for which a link beyond the subset is kept after its last use.
+ON_DEMAND_LINK_SECONDS = 60.0
+#: Timeout for the first report of such an endpoint. The report takes one round
+#: trip, a few milliseconds.
+FIRST_REPORT_TIMEOUT_SECONDS = 1.0
 
 
 class LinkEvents(abc.ABC):
-    """Who wants to know what happens to the links."""
+    """Callbacks for changes in the state of the links."""
 
     @abc.abstractmethod
     def endpoint_reported(self, view: EndpointView) -> None:
-        """Take a report."""
+        """Handle a report."""
 
     @abc.abstractmethod
     def endpoint_lost(self, endpoint: EndpointId, *, restarted: bool) -> None:
-        """Note that an endpoint is silent or has restarted."""
+        """Handle the loss of an endpoint that is silent or has restarted."""
 
     @abc.abstractmethod
     def endpoint_retired(self, endpoint: EndpointId) -> None:
-        """Note that an endpoint gets no new work; its runs go on."""
+        """Handle the end of offers to an endpoint; its runs continue."""
 
     @abc.abstractmethod
     def is_in_use(self, endpoint: EndpointId) -> bool:
-        """Whether a request is in progress at an endpoint."""
+        """Return whether a request is in progress at an endpoint."""
 
 
 class EndpointLinks:
-    """All links of an entry process.
+    """Manages all links of an entry process.
 
     Parameters
     ----------
     entry, zone
-        What the heartbeats say of this process.
+        Identity of this process in the heartbeats.
     claim
-        Returns what to say of the settings in force.
+        Returns the claim about the settings in force, for the heartbeats.
     """
 
     def __init__(
@@ -86,68 +86,70 @@
         self._addresses: dict[str, EndpointId] = {}
         self._fleet: FleetSettings | None = None
         self._node: Node | None = None
-        self._first_update: float = 0
+        self._first_update_at: float = 0
 
     def update(self, fleet: FleetSettings, node: Node) -> None:
-        """Follow the endpoints of a newer settings tree."""
+        """Update the links to the endpoints of a newer settings tree."""
         if self._fleet is None:
-            self._first_update = self.clock.monotonic()
+            self._first_update_at = self.clock.monotonic()
         self._fleet = fleet
         self._node = node
         for link in tuple(self.links.values()):
             known = fleet.endpoints.get(link.endpoint)
             if known is None or known.address != link.address:
                 self._retire(link)
-        chosen = self._choose(fleet)
+        chosen = self._choose_subset(fleet)
         now = self.clock.monotonic()
         for link in tuple(self.links.values()):
-            if link.endpoint not in chosen and link.wanted_until <= now:
+            if link.endpoint not in chosen and link.keep_until <= now:
                 self._retire(link)
         for endpoint in chosen.values():
-            self._follow(endpoint, node)
+            self._ensure_link(endpoint, node)
 
     @property
-    def is_settled(self) -> bool:
-        """Whether each endpoint has been heard or had the time to answer.
+    def is_discovery_complete(self) -> bool:
+        """Whether each endpoint has reported or had enough time to report.
 
-        Before that a request would be refused for want of endpoints that are
-        there; the balancer should send nothing yet.
+        Before that, the entry would refuse requests although their endpoints
+        exist, so the load balancer must not send any.
         """
         if self._fleet is None:
             return False
-        waited = self.clock.monotonic() - self._first_update
-        if waited > SILENT_BEATS * self.interval:
+        waited = self.clock.monotonic() - self._first_update_at
+        if waited > SILENCE_INTERVALS * self.heartbeat_interval:
             return True
         return all(link.is_heard for link in self.links.values())
 
     def find(self, endpoint: EndpointId) -> EndpointLink | None:
-        """Return the link of an endpoint that is heard, or None."""
+        """Return the link of an endpoint that is not silent, or None."""
         link = self.links.get(endpoint)
         if link is None or not link.is_heard:
             return None
         return link
 
     def open(self, endpoint: EndpointId) -> EndpointLink | None:
-        """Return the link of any endpoint of the settings, heard or not.
+        """Return the link of any endpoint of the settings, silent or not.
 
-        A request under a bound id, a caller's key or an answer to come back
-        for may be at an endpoint beyond the subset.
+        A bound id, a caller's key or a resumed answer may require an endpoint
+        beyond the subset.
         """
         link = self.links.get(endpoint)
         if link is None:
             link = self._open_beyond_subset(endpoint)
-        if link is not None and link.wanted_until:
-            link.wanted_until = self.clock.monotonic() + ON_DEMAND_SECONDS
+        if link is not None and link.keep_until:
+            link.keep_until = self.clock.monotonic() + ON_DEMAND_LINK_SECONDS
         return link
 
-    async def reach(self, endpoint: EndpointId) -> EndpointLink | None:
-        """Return the link of an endpoint once it is heard, or None."""
+    async def wait_for_report(
+        self, endpoint: EndpointId
+    ) -> EndpointLink | None:
+        """Return the link of an endpoint once it has reported, or None."""
         link = self.open(endpoint)
         if link is None:
             return None
         try:
-            async with asyncio.timeout(REACH_SECONDS):
-                await link.heard.wait()
+            async with asyncio.timeout(FIRST_REPORT_TIMEOUT_SECONDS):
+                await link.report_received.wait()
         except TimeoutError:
             return None
         return link
@@ -158,38 +160,41 @@
         return None if endpoint is None else self.links.get(endpoint)
 
     def take_report(self, report: LoadReport) -> None:
-        """Note a report and tell of a restart that it shows."""
+        """Apply a report, and signal a restart that the report shows."""
         link = self.links.get(report.endpoint)
-        if link is None or link.is_older(report):
+        if link is None or link.is_outdated(report):
             return
         if link.shows_restart(report):
             self.events.endpoint_lost(link.endpoint, restarted=True)
-        link.take(report, self.clock.monotonic())
-        self.events.endpoint_reported(view_of(report, link.reported_at))
+        link.apply_report(report, self.clock.monotonic())
+        self.events.endpoint_reported(make_view(report, link.reported_at))
 
     @property
-    def interval(self) -> float:
-        """Time between two heartbeats to one endpoint, in seconds."""
-        return max(HEARTBEAT_SECONDS, len(self.links) / HEARTBEATS_A_SECOND)
+    def heartbeat_interval(self) -> float:
+        """Interval between two heartbeats to one endpoint, in seconds."""
+        return max(
+            MIN_HEARTBEAT_INTERVAL_SECONDS,
+            len(self.links) / MAX_HEARTBEATS_PER_SECOND,
+        )
 
     async def run(self) -> None:
-        """Send heartbeats and find silent endpoints until cancelled."""
+        """Send heartbeats and detect silent endpoints until cancelled."""
         while True:
-            self.beat()
-            await asyncio.sleep(self.interval)
+            self.send_heartbeats()
+            await asyncio.sleep(self.heartbeat_interval)
 
-    def beat(self) -> None:
-        """Send one heartbeat to each endpoint and look for silent ones."""
+    def send_heartbeats(self) -> None:
+        """Send one heartbeat to each endpoint and detect silent endpoints."""
         now = self.clock.monotonic()
-        horizon = now - SILENT_BEATS * self.interval
+        oldest_allowed = now - SILENCE_INTERVALS * self.heartbeat_interval
         self._send_heartbeat((*self.links.values(), *self.retired))
         for link in tuple(self.links.values()):
-            if link.is_heard and link.reported_at < horizon:
-                link.fall_silent()
+            if link.is_heard and link.reported_at < oldest_allowed:
+                link.mark_silent()
                 self.events.endpoint_lost(link.endpoint, restarted=False)
-            if 0 < link.wanted_until < now:
+            if 0 < link.keep_until < now:
                 self._retire(link)
-        self._forget_retired()
+        self._close_retired()
 
     def _send_heartbeat(self, links: Iterable[EndpointLink]) -> None:
         claim = self.claim()
@@ -204,12 +209,12 @@
         for link in links:
             link.post(heartbeat)
 
-    def _choose(
+    def _choose_subset(
         self,
         fleet: FleetSettings,
     ) -> dict[EndpointId, EndpointSettings]:
         chooser = SubsetChooser(self.entry, self.zone, fleet.zones)
-        services = {one.service for one in fleet.endpoints.values()}
+        services = {endpoint.service for endpoint in fleet.endpoints.values()}
         return {
             chosen.endpoint: chosen
             for service in sorted(services)
@@ -222,15 +227,17 @@
         known = self._fleet.endpoints.get(endpoint)
         if known is None:
             return None
-        link = self._follow(known, self._node)
-        link.wanted_until = self.clock.monotonic() + ON_DEMAND_SECONDS
+        link = self._ensure_link(known, self._node)
+        link.keep_until = self.clock.monotonic() + ON_DEMAND_LINK_SECONDS
         self._send_heartbeat((link,))
         return link
 
-    def _follow(self, endpoint: EndpointSettings, node: Node) -> EndpointLink:
+    def _ensure_link(
+        self, endpoint: EndpointSettings, node: Node
+    ) -> EndpointLink:
         known = self.links.get(endpoint.endpoint)
         if known is not None:
-            known.wanted_until = 0
+            known.keep_until = 0
             return known
         link = EndpointLink(
             endpoint=endpoint.endpoint,
@@ -242,26 +249,25 @@
         return link
 
     def _retire(self, link: EndpointLink) -> None:
-        """Offer nothing more to an endpoint, and let its runs go on.
+        """Stop offers to an endpoint while its runs continue.
 
-        What goes wrong otherwise: an operator takes an endpoint out of the
-        settings, its link is dropped at once, and the answers that it is
-        still sending are cut off.
+        If the link were closed as soon as an operator removes the endpoint
+        from the settings, the answers in progress would be cut off.
         """
         self.links.pop(link.endpoint)
         self.retired.append(link)
         self.events.endpoint_retired(link.endpoint)
 
-    def _forget_retired(self) -> None:
+    def _close_retired(self) -> None:
         for link in tuple(self.retired):
             current = self.links.get(link.endpoint)
             if current is not None and current.address == link.address:
                 self.retired.remove(link)
             elif not self.events.is_in_use(link.endpoint):
                 self.retired.remove(link)
-                self._drop(link)
+                self._close(link)
 
-    def _drop(self, link: EndpointLink) -> None:
+    def _close(self, link: EndpointLink) -> None:
         self._addresses.pop(link.address, None)
         if self._node is not None:
             self._node.forget(link.address)
--- a/packages/sycamore-entry/src/sycamore_entry/fleet/tests/test_links.py
+++ b/packages/sycamore-entry/src/sycamore_entry/fleet/tests/test_links.py
@@ -21,18 +21,18 @@
 
 from .. import EndpointLinks, LinkEvents
 from ..links import (
-    HEARTBEAT_SECONDS,
-    HEARTBEATS_A_SECOND,
-    ON_DEMAND_SECONDS,
-    SILENT_BEATS,
+    MAX_HEARTBEATS_PER_SECOND,
+    MIN_HEARTBEAT_INTERVAL_SECONDS,
+    ON_DEMAND_LINK_SECONDS,
+    SILENCE_INTERVALS,
 )
 
 MODEL = EndpointId('model-1')
-SILENT_SECONDS = SILENT_BEATS * HEARTBEAT_SECONDS
+SILENT_SECONDS = SILENCE_INTERVALS * MIN_HEARTBEAT_INTERVAL_SECONDS
 CLAIM = SettingsClaim(TreeRank(SettingsVersion(1), 0))
 
 
-class SilentPeer:
+class RecordingPeer:
     def __init__(self) -> None:
         self.posted: list[Message] = []
 
@@ -41,21 +41,21 @@
         return True
 
 
-class PeersOnly:
-    """The part of a node that links use."""
+class StubNode:
+    """The part of a node that the links use."""
 
     def __init__(self) -> None:
-        self.peers: dict[str, SilentPeer] = {}
+        self.peers: dict[str, RecordingPeer] = {}
         self.forgotten: list[str] = []
 
-    def peer(self, address: str) -> SilentPeer:
-        return self.peers.setdefault(address, SilentPeer())
+    def peer(self, address: str) -> RecordingPeer:
+        return self.peers.setdefault(address, RecordingPeer())
 
     def forget(self, address: str) -> None:
         self.forgotten.append(address)
 
 
-class Recorder(LinkEvents):
+class RecordingListener(LinkEvents):
     def __init__(self) -> None:
         self.views: list[EndpointView] = []
         self.lost: list[tuple[EndpointId, bool]] = []
@@ -75,13 +75,13 @@
         return endpoint in self.busy
 
 
-class Scene:
-    """Links of one entry with a clock and a record of events."""
+class LinksFixture:
+    """Links of one entry with a manual clock and recorded events."""
 
     def __init__(self, count: int = 1) -> None:
         self.clock = ManualClock(start=100)
-        self.events = Recorder()
-        self.node = PeersOnly()
+        self.events = RecordingListener()
+        self.node = StubNode()
         self.links = EndpointLinks(
             EntryId('entry'),
             ZoneId('a'),
@@ -125,128 +125,129 @@
     )
 
 
-def test_silent_endpoint_is_lost_and_found_again() -> None:
-    """An endpoint process is frozen for some seconds and wakes up.
+def test_silent_endpoint_is_lost_until_it_reports_again() -> None:
+    """An endpoint process is suspended for some seconds and resumes.
 
-    Requests go elsewhere meanwhile and come back to it afterwards.
+    Requests go to other endpoints in the meantime.
     """
-    scene = Scene()
-    scene.report()
-    scene.clock.advance(SILENT_SECONDS + 1)
-    scene.links.beat()
-    assert scene.events.lost == [(MODEL, False)]
-    assert scene.links.find(MODEL) is None
-    scene.report()
-    assert scene.links.find(MODEL) is not None
+    fixture = LinksFixture()
+    fixture.report()
+    fixture.clock.advance(SILENT_SECONDS + 1)
+    fixture.links.send_heartbeats()
+    assert fixture.events.lost == [(MODEL, False)]
+    assert fixture.links.find(MODEL) is None
+    fixture.report()
+    assert fixture.links.find(MODEL) is not None
 
 
-def test_restart_is_noticed_at_the_first_report() -> None:
+def test_restart_is_detected_at_the_first_report() -> None:
     """An endpoint process is killed and started again within a second.
 
-    Callers whose answers it held must hear of it at once, not only when they
-    run out of time.
+    Callers with answers from that process must be informed immediately, not
+    only at their time limit.
     """
-    scene = Scene()
-    scene.report(incarnation=1)
-    scene.report(incarnation=2)
-    assert scene.events.lost == [(MODEL, True)]
+    fixture = LinksFixture()
+    fixture.report(incarnation=1)
+    fixture.report(incarnation=2)
+    assert fixture.events.lost == [(MODEL, True)]
 
 
-def test_replaced_process_that_wakes_up_is_ignored() -> None:
-    scene = Scene()
-    scene.report(incarnation=2)
-    scene.report(incarnation=1)
-    assert scene.links.find(MODEL).incarnation == 2
-    assert len(scene.events.views) == 1
+def test_report_of_a_replaced_process_is_ignored() -> None:
+    fixture = LinksFixture()
+    fixture.report(incarnation=2)
+    fixture.report(incarnation=1)
+    assert fixture.links.find(MODEL).incarnation == 2
+    assert len(fixture.events.views) == 1
 
 
-def test_replacement_with_an_older_clock_is_taken_in_the_end() -> None:
-    """The new instance's wall clock is half a minute behind the old one's.
+def test_replacement_with_an_older_clock_is_finally_accepted() -> None:
+    """The wall clock of the new instance is half a minute behind.
 
-    Its start looks earlier than that of the process it replaces; it must not
-    stay without work for ever.
+    The new process appears to have started before the process that it
+    replaces, but must not be ignored permanently.
     """
-    scene = Scene()
-    scene.report(incarnation=2)
-    scene.clock.advance(SILENT_SECONDS + 1)
-    scene.links.beat()
-    scene.report(incarnation=1)
-    assert scene.links.find(MODEL).incarnation == 1
+    fixture = LinksFixture()
+    fixture.report(incarnation=2)
+    fixture.clock.advance(SILENT_SECONDS + 1)
+    fixture.links.send_heartbeats()
+    fixture.report(incarnation=1)
+    assert fixture.links.find(MODEL).incarnation == 1
 
 
-def test_endpoint_taken_out_of_the_settings_ends_its_runs() -> None:
+def test_endpoint_removed_from_the_settings_finishes_its_runs() -> None:
     """An operator removes an endpoint while it streams an answer.
 
-    It gets nothing new, but the answer in progress must not be cut off.
+    The endpoint gets no new requests, but the answer in progress must not be
+    cut off.
     """
-    scene = Scene()
-    scene.report()
-    scene.events.busy.add(MODEL)
-    scene.update(make_fleet(0))
-    scene.links.beat()
-    assert scene.events.retired == [MODEL]
-    assert scene.links.find(MODEL) is None
-    assert not scene.node.forgotten
-    scene.events.busy.clear()
-    scene.links.beat()
-    assert scene.node.forgotten == ['tcp://127.0.0.1:1']
-
-
-def test_moved_endpoint_is_followed_to_its_new_address() -> None:
-    scene = Scene()
-    scene.report()
+    fixture = LinksFixture()
+    fixture.report()
+    fixture.events.busy.add(MODEL)
+    fixture.update(make_fleet(0))
+    fixture.links.send_heartbeats()
+    assert fixture.events.retired == [MODEL]
+    assert fixture.links.find(MODEL) is None
+    assert not fixture.node.forgotten
+    fixture.events.busy.clear()
+    fixture.links.send_heartbeats()
+    assert fixture.node.forgotten == ['tcp://127.0.0.1:1']
+
+
+def test_link_uses_the_new_address_of_a_moved_endpoint() -> None:
+    fixture = LinksFixture()
+    fixture.report()
     fleet = make_fleet(1)
     moved = msgspec.structs.replace(
         fleet.endpoints[MODEL],
         address='tcp://127.0.0.1:99',
     )
-    scene.update(msgspec.structs.replace(fleet, endpoints={MODEL: moved}))
-    assert scene.links.find(MODEL) is None
-    scene.report(incarnation=2)
-    assert scene.links.find(MODEL).address == 'tcp://127.0.0.1:99'
+    fixture.update(msgspec.structs.replace(fleet, endpoints={MODEL: moved}))
+    assert fixture.links.find(MODEL) is None
+    fixture.report(incarnation=2)
+    assert fixture.links.find(MODEL).address == 'tcp://127.0.0.1:99'
 
 
 def test_heartbeats_go_to_a_subset_only() -> None:
-    """A fleet has hundreds of endpoints; each entry talks to a few."""
-    scene = Scene(count=200)
-    scene.links.beat()
-    assert len(scene.node.peers) < 20
+    """An entry links to a few of the hundreds of endpoints of a fleet."""
+    fixture = LinksFixture(count=200)
+    fixture.links.send_heartbeats()
+    assert len(fixture.node.peers) < 20
 
 
-def test_heartbeats_are_bounded_however_many_links_there_are() -> None:
-    """Many services make many links; control must not eat up the node."""
-    scene = Scene(count=200)
+def test_heartbeat_rate_is_bounded_for_any_number_of_links() -> None:
+    """Many services require many links; heartbeats must not load the node."""
+    fixture = LinksFixture(count=200)
     for name in make_fleet(200).endpoints:
-        scene.links.open(name)
-    rate = len(scene.links.links) / scene.links.interval
-    assert len(scene.links.links) == 200
-    assert rate <= HEARTBEATS_A_SECOND
+        fixture.links.open(name)
+    rate = len(fixture.links.links) / fixture.links.heartbeat_interval
+    assert len(fixture.links.links) == 200
+    assert rate <= MAX_HEARTBEATS_PER_SECOND
 
 
-def test_entry_is_ready_once_its_endpoints_are_heard() -> None:
-    """An entry has just started and knows the settings but no endpoint yet.
+def test_entry_is_ready_once_its_endpoints_have_reported() -> None:
+    """An entry has just started and has settings, but no reports yet.
 
-    The balancer must not send it requests that it would refuse.
+    The load balancer must not send requests that the entry would refuse.
     """
-    scene = Scene()
-    assert not scene.links.is_settled
-    scene.report()
-    assert scene.links.is_settled
+    fixture = LinksFixture()
+    assert not fixture.links.is_discovery_complete
+    fixture.report()
+    assert fixture.links.is_discovery_complete
 
 
-def test_entry_does_not_wait_for_a_dead_endpoint_for_ever() -> None:
-    scene = Scene()
-    scene.clock.advance(SILENT_SECONDS + 1)
-    assert scene.links.is_settled
+def test_entry_does_not_wait_indefinitely_for_a_dead_endpoint() -> None:
+    fixture = LinksFixture()
+    fixture.clock.advance(SILENT_SECONDS + 1)
+    assert fixture.links.is_discovery_complete
 
 
-def test_endpoint_beyond_the_subset_is_met_on_demand() -> None:
-    """A caller comes back with an id that is bound to a far endpoint."""
-    scene = Scene(count=200)
+def test_link_beyond_the_subset_is_opened_on_demand() -> None:
+    """A caller uses an id that is bound to an endpoint beyond the subset."""
+    fixture = LinksFixture(count=200)
     names = set(make_fleet(200).endpoints)
-    beyond = EndpointId(sorted(names.difference(scene.links.links))[0])
-    link = scene.links.open(beyond)
-    assert isinstance(scene.node.peer(link.address).posted[0], Heartbeat)
-    scene.clock.advance(ON_DEMAND_SECONDS + 1)
-    scene.links.beat()
-    assert beyond not in scene.links.links
+    beyond = EndpointId(sorted(names.difference(fixture.links.links))[0])
+    link = fixture.links.open(beyond)
+    assert isinstance(fixture.node.peer(link.address).posted[0], Heartbeat)
+    fixture.clock.advance(ON_DEMAND_LINK_SECONDS + 1)
+    fixture.links.send_heartbeats()
+    assert beyond not in fixture.links.links
--- a/packages/sycamore-entry/src/sycamore_entry/overview.py
+++ b/packages/sycamore-entry/src/sycamore_entry/overview.py
@@ -1,4 +1,4 @@
-"""What an operator sees of the fleet through one entry process."""
+"""The view of the fleet by one entry process, for operators."""
 
 import msgspec
 from sycamore_core.decisions import SchedulerSnapshot
@@ -9,12 +9,12 @@
 
 
 class LinkOverview(msgspec.Struct, frozen=True):
-    """One endpoint as this entry sees it; no report means silent.
+    """The link to one endpoint; a silent endpoint has no report.
 
     Attributes
     ----------
     report_age
-        Seconds since its last report.
+        Time since the latest report, in seconds.
     """
 
     endpoint: EndpointId
@@ -25,7 +25,7 @@
 
 
 class Overview(msgspec.Struct, frozen=True):
-    """The whole view."""
+    """The complete view."""
 
     settings_version: int
     exchanges: int
@@ -35,13 +35,13 @@
 
 
 def make_overview(context: EntryContext) -> Overview:
-    """Return the view as it is now."""
+    """Return the current view."""
     now = context.now()
     links = context.links.links.values()
     return Overview(
         settings_version=context.links.claim().rank.version,
         exchanges=len(context.registry),
-        stray_events=context.registry.stray,
+        stray_events=context.registry.stray_events,
         scheduler=context.scheduler.snapshot(now),
         links=tuple(
             LinkOverview(
--- a/packages/sycamore-entry/src/sycamore_entry/peers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/peers.py
@@ -1,4 +1,4 @@
-"""The task of one peer: what its messages mean to this process."""
+"""Handling of the messages of peers, and of changes of the links."""
 
 import msgspec
 from sycamore_core.decisions import EndpointView
@@ -21,11 +21,11 @@
 from .fleet import LinkEvents
 from .reservations import Reservations
 
-_OF_REQUESTS = (Accepted, Declined, Frame)
+_REQUEST_MESSAGES = (Accepted, Declined, Frame)
 
 
 class PeerHandler:
-    """Handles the messages of peers, one task for each."""
+    """Handles the messages of peers, with one task for each peer."""
 
     def __init__(
         self,
@@ -38,35 +38,35 @@
         self.keeper = keeper
 
     async def serve(self, peer: Peer) -> None:
-        """Handle what comes from one peer until cancelled."""
+        """Handle the messages of one peer until cancelled."""
         while True:
             self._handle(peer, await peer.inbound.get())
 
     def _handle(self, peer: Peer, message: Message) -> None:
-        if isinstance(message, _OF_REQUESTS):
+        if isinstance(message, _REQUEST_MESSAGES):
             self.context.registry.deliver(message.request_id, message)
         elif isinstance(message, RunReport):
-            self._run_report(peer, message)
+            self._handle_run_report(peer, message)
         elif isinstance(message, LoadReport):
-            self._load_report(peer, message)
+            self._handle_load_report(peer, message)
         elif isinstance(message, Reserved):
-            self.reservations.answered(message)
+            self.reservations.handle_answer(message)
         else:
-            self._settings(peer, message)
+            self._handle_settings(peer, message)
 
-    def _run_report(self, peer: Peer, report: RunReport) -> None:
+    def _handle_run_report(self, peer: Peer, report: RunReport) -> None:
         link = self.context.links.at_address(peer.address)
         if link is not None:
             located = msgspec.structs.replace(report, endpoint=link.endpoint)
             self.context.registry.deliver(report.request_id, located)
 
-    def _load_report(self, peer: Peer, report: LoadReport) -> None:
+    def _handle_load_report(self, peer: Peer, report: LoadReport) -> None:
         self.context.links.take_report(report)
         wanted = self.keeper.wanted_above(SettingsClaim.from_message(report))
         if wanted is not None:
             peer.post(wanted)
 
-    def _settings(self, peer: Peer, message: Message) -> None:
+    def _handle_settings(self, peer: Peer, message: Message) -> None:
         if isinstance(message, SettingsBody):
             self.keeper.offer_from_peer(message, peer.address)
         elif isinstance(message, SettingsWanted):
@@ -75,31 +75,33 @@
                 peer.post(body)
 
 
-class SchedulerFeed(LinkEvents):
-    """Tells the scheduler and the exchanges what happens to the links."""
+class LinkEventHandler(LinkEvents):
+    """Forwards changes of the links to the scheduler and the exchanges."""
 
     context: EntryContext
 
     def endpoint_reported(self, view: EndpointView) -> None:
-        """Give a report to the scheduler."""
+        """Update the scheduler with a report."""
         self.context.scheduler.update_endpoint(view, self.context.now())
-        self.context.wake.set()
+        self.context.dispatch_needed.set()
 
     def endpoint_retired(self, endpoint: EndpointId) -> None:
-        """Take an endpoint out of the scheduler; its exchanges go on."""
+        """Remove an endpoint from the scheduler; its exchanges continue."""
         now = self.context.now()
         self.context.scheduler.remove_endpoint(endpoint, now)
         self.context.log.info('endpoint_retired', endpoint=endpoint)
 
     def is_in_use(self, endpoint: EndpointId) -> bool:
-        """Whether an exchange is in progress at an endpoint."""
-        return self.context.registry.uses(endpoint)
+        """Return whether an exchange is in progress at an endpoint."""
+        return self.context.registry.is_endpoint_in_use(endpoint)
 
     def endpoint_lost(self, endpoint: EndpointId, *, restarted: bool) -> None:
-        """Take an endpoint out of the scheduler and tell its exchanges."""
+        """Remove an endpoint from the scheduler and notify its exchanges."""
         now = self.context.now()
         self.context.scheduler.remove_endpoint(endpoint, now)
-        self.context.registry.endpoint_lost(EndpointLost(endpoint, restarted))
+        self.context.registry.notify_endpoint_lost(
+            EndpointLost(endpoint, restarted)
+        )
         self.context.log.warning(
             'endpoint_lost',
             endpoint=endpoint,
--- a/packages/sycamore-entry/src/sycamore_entry/process.py
+++ b/packages/sycamore-entry/src/sycamore_entry/process.py
@@ -1,4 +1,4 @@
-"""The entry process: its start, its tasks and its end."""
+"""Start, tasks and shutdown of the entry process."""
 
 import asyncio
 import random
@@ -12,12 +12,12 @@
 from sycamore_core.settings import EntryProcessSettings, FleetSettings
 from tornado.httpserver import HTTPServer
 
+from .components import EntryComponents
 from .dispatcher import Dispatcher
-from .parts import EntryParts
 from .web import make_application
 
-#: Largest body that the HTTP server takes at all; the services' own limits
-#: are lower.
+#: Largest body that the HTTP server accepts; the limits of the services are
+#: lower.
 MAX_BODY_BYTES = 67_108_864
 _DRAIN_POLL_SECONDS = 0.05
 
@@ -28,68 +28,69 @@
     def __init__(
         self,
         settings: EntryProcessSettings,
-        parts: EntryParts,
+        components: EntryComponents,
     ) -> None:
         self.settings = settings
-        self.parts = parts
-        self.log = parts.context.log
+        self.components = components
+        self.log = components.context.log
         self._tasks: list[asyncio.Task[None]] = []
 
     @classmethod
     def from_settings(cls, settings: EntryProcessSettings) -> Self:
-        """Return a process with the parts that the settings ask for."""
-        nothing_yet = FleetSettings(version=SettingsVersion(0), name='')
+        """Return a process with components built from the settings."""
+        empty_fleet = FleetSettings(version=SettingsVersion(0), name='')
         scheduler = FairScheduler.from_settings(
-            nothing_yet,
+            empty_fleet,
             random.random,
             settings.zone,
         )
         clock = SystemClock()
-        parts = EntryParts.from_settings(settings, scheduler, clock)
-        return cls(settings, parts)
+        components = EntryComponents.from_settings(settings, scheduler, clock)
+        return cls(settings, components)
 
     async def run(self) -> None:
-        """Serve until told to stop, then let what is in progress finish."""
+        """Serve until a stop signal, then drain the exchanges in progress."""
         stop = _stop_on_signal()
         server = self._listen()
         await self._start_tasks()
-        version = self.parts.keeper.version
+        version = self.components.keeper.version
         self.log.info('entry_ready', settings_version=version)
-        await self._wait_for_end(stop)
+        await self._wait_for_stop(stop)
         await self._drain()
         server.stop()
-        await self._end_tasks()
+        await self._cancel_tasks()
         self.log.info('entry_stopped')
 
     def _listen(self) -> HTTPServer:
-        self.parts.node.start()
+        self.components.node.start()
         server = HTTPServer(
-            make_application(self.parts.web),
+            make_application(self.components.web),
             max_buffer_size=MAX_BODY_BYTES,
         )
         server.listen(self.settings.http_port, self.settings.http_host)
         return server
 
     async def _start_tasks(self) -> None:
-        keeper = self.parts.keeper
+        keeper = self.components.keeper
         self._tasks.append(asyncio.create_task(keeper.run()))
         try:
             await keeper.wait_first(self.settings.start_seconds)
         except PlatformError as error:
-            # Without settings nothing can be served, but the platform may
-            # come back: the process stays, not ready, and says why.
+            # The process cannot serve without settings, but the platform may
+            # recover. The process stays alive, reports that it is not ready
+            # and logs the reason.
             self.log.error('settings_missing', reason=str(error))
-        keeper.listen(self.parts.take_settings)
-        context = self.parts.context
+        keeper.listen(self.components.apply_settings)
+        context = self.components.context
         self._tasks.append(asyncio.create_task(context.links.run()))
         self._tasks.append(asyncio.create_task(Dispatcher(context).run()))
 
-    async def _wait_for_end(self, stop: asyncio.Event) -> None:
-        """Return when told to stop, or when one of the tasks has failed.
+    async def _wait_for_stop(self, stop: asyncio.Event) -> None:
+        """Return after a stop signal, or when one of the tasks has failed.
 
-        What goes wrong otherwise: a task dies of a fault of ours, and the
-        process goes on half alive, healthy to the balancer and deaf to new
-        settings. It ends instead, and the platform starts it anew.
+        If a task fails because of a defect, a process that continued would
+        stay healthy for the load balancer but, for example, ignore new
+        settings. The process ends instead, and the platform restarts it.
         """
         stopped = asyncio.create_task(stop.wait())
         ended, _ = await asyncio.wait(
@@ -101,26 +102,27 @@
         stopped.cancel()
 
     async def _drain(self) -> None:
-        """Take nothing new and wait for the exchanges in progress.
+        """Refuse new requests and wait for the exchanges in progress.
 
-        The balancer learns by ``/healthz`` that this process is leaving. New
-        requests that still come are refused as not run and go elsewhere.
+        ``/healthz`` reports to the load balancer that the process is not
+        ready. Requests that still arrive are refused as not run, so callers
+        can send them to another entry.
         """
-        self.parts.web.draining.set()
-        context = self.parts.context
+        self.components.web.draining.set()
+        context = self.components.context
         context.links.draining = True
         self.log.info('entry_draining', exchanges=len(context.registry))
         until = context.now() + self.settings.drain_seconds
         while len(context.registry) and context.now() < until:
             await asyncio.sleep(_DRAIN_POLL_SECONDS)
-        # The last answers are written; their connections get a moment.
+        # The last answers are written; their connections get time to send.
         await asyncio.sleep(_DRAIN_POLL_SECONDS)
 
-    async def _end_tasks(self) -> None:
+    async def _cancel_tasks(self) -> None:
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self.parts.node.close()
+        await self.components.node.close()
 
 
 def _stop_on_signal() -> asyncio.Event:
--- a/packages/sycamore-entry/src/sycamore_entry/records/__init__.py
+++ b/packages/sycamore-entry/src/sycamore_entry/records/__init__.py
@@ -1,5 +1,5 @@
 """Records of recent requests that were refused or failed."""
 
-from .book import RecordBook, RequestRecord
+from .registry import RecordRegistry, RequestRecord
 
-__all__ = ('RecordBook', 'RequestRecord')
+__all__ = ('RecordRegistry', 'RequestRecord')
--- a/packages/sycamore-entry/src/sycamore_entry/records/tests/test_book.py
+++ b/packages/sycamore-entry/src/sycamore_entry/records/tests/test_book.py
@@ -3,7 +3,7 @@
 from sycamore_core.ids import RequestId, ServiceId, WorkspaceId
 from sycamore_core.states import Execution, RefusalReason
 
-from .. import RecordBook, RequestRecord
+from .. import RecordRegistry, RequestRecord
 
 
 def make_record(name: str) -> RequestRecord:
@@ -23,11 +23,11 @@
     )
 
 
-def test_book_is_bounded_and_keeps_the_newest() -> None:
-    """An overload refuses far more requests than the book holds."""
-    book = RecordBook(limit=3)
+def test_registry_is_bounded_and_keeps_the_newest() -> None:
+    """An overload refuses more requests than the registry can hold."""
+    registry = RecordRegistry(limit=3)
     for number in range(10):
-        book.add(make_record(str(number)))
-    assert [record.request_id for record in book.newest(2)] == ['9', '8']
-    assert book.find(RequestId('7')) is not None
-    assert book.find(RequestId('6')) is None
+        registry.add(make_record(str(number)))
+    assert [record.request_id for record in registry.newest(2)] == ['9', '8']
+    assert registry.find(RequestId('7')) is not None
+    assert registry.find(RequestId('6')) is None
--- a/packages/sycamore-entry/src/sycamore_entry/reservations.py
+++ b/packages/sycamore-entry/src/sycamore_entry/reservations.py
@@ -1,4 +1,4 @@
-"""Reservations: ids that an endpoint process mints before anything runs."""
+"""Reservation of request ids, minted by an endpoint process before a run."""
 
 import asyncio
 import secrets
@@ -11,21 +11,22 @@
 from .errors import RefusedError
 from .fleet import EndpointLink
 
-#: An endpoint process answers in milliseconds; the next one is asked after.
-RESERVE_SECONDS = 1.0
+#: Timeout after which the next endpoint process is asked. A reply takes
+#: milliseconds.
+RESERVE_TIMEOUT_SECONDS = 1.0
 _NONCE_BYTES = 8
-_COME_BACK_SECONDS = 1.0
+_RETRY_AFTER_SECONDS = 1.0
 
 
 class Reservations:
-    """Asks endpoint processes for ids and waits for their answers."""
+    """Requests ids from endpoint processes and waits for their replies."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, asyncio.Future[Reserved]] = {}
+        self._pending: dict[str, asyncio.Future[Reserved]] = {}
 
-    def answered(self, reserved: Reserved) -> None:
-        """Take an answer of an endpoint process."""
-        future = self._waiting.get(reserved.nonce)
+    def handle_answer(self, reserved: Reserved) -> None:
+        """Handle the reply of an endpoint process."""
+        future = self._pending.get(reserved.nonce)
         if future is not None and not future.done():
             future.set_result(reserved)
 
@@ -35,7 +36,7 @@
         workspace: WorkspaceId,
         service: ServiceId,
     ) -> Reserved:
-        """Return an id minted by the first endpoint process that answers.
+        """Return an id minted by the first endpoint process that replies.
 
         Parameters
         ----------
@@ -45,7 +46,7 @@
         Raises
         ------
         RefusedError
-            If none of them answers.
+            If no endpoint replies.
         """
         for link in links:
             reserved = await self._ask(link, workspace, service)
@@ -53,8 +54,8 @@
                 return reserved
         raise RefusedError(
             RefusalReason.NO_ENDPOINT,
-            'no endpoint of the service answers',
-            retry_after=_COME_BACK_SECONDS,
+            'no endpoint of the service replied',
+            retry_after=_RETRY_AFTER_SECONDS,
         )
 
     async def _ask(
@@ -65,12 +66,12 @@
     ) -> Reserved | None:
         nonce = secrets.token_hex(_NONCE_BYTES)
         future: asyncio.Future[Reserved] = asyncio.Future()
-        self._waiting[nonce] = future
+        self._pending[nonce] = future
         link.post(Reserve(nonce, workspace, service))
         try:
-            async with asyncio.timeout(RESERVE_SECONDS):
+            async with asyncio.timeout(RESERVE_TIMEOUT_SECONDS):
                 return await future
         except TimeoutError:
             return None
         finally:
-            self._waiting.pop(nonce)
+            self._pending.pop(nonce)
--- a/packages/sycamore-entry/src/sycamore_entry/web/app.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/app.py
@@ -28,9 +28,9 @@
         [url(pattern, handler, shared) for pattern, handler in routes],
         default_handler_class=handlers.NotFoundHandler,
         default_handler_args=shared,
-        log_function=_log_nothing,
+        log_function=_skip_access_log,
     )
 
 
-def _log_nothing(handler: object) -> None:
-    """Leave out tornado's line a request; exchanges write their own."""
+def _skip_access_log(handler: object) -> None:
+    """Omit the access log of tornado; exchanges log their own events."""
--- a/packages/sycamore-entry/src/sycamore_entry/web/auth.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/auth.py
@@ -1,4 +1,4 @@
-"""Who calls: API keys of workspaces and operators."""
+"""Authentication by API keys of workspaces and operators."""
 
 import hashlib
 import hmac
@@ -22,7 +22,7 @@
     workspace: WorkspaceId,
     authorization: str,
 ) -> WorkspaceSettings:
-    """Return the workspace that an API key opens.
+    """Return a workspace after a check of the API key.
 
     Raises
     ------
@@ -54,7 +54,7 @@
     workspace: WorkspaceSettings,
     service: ServiceId,
 ) -> ServiceSettings:
-    """Return the values in force for a service of a workspace.
+    """Return the settings in force for a service of a workspace.
 
     Raises
     ------
@@ -77,5 +77,5 @@
     if not authorization.startswith(_SCHEME) or not is_known:
         raise RefusedError(
             RefusalReason.UNAUTHENTICATED,
-            'the API key is missing or not valid here',
+            'the API key is missing or not valid for this resource',
         )
--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/__init__.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/__init__.py
@@ -1,4 +1,4 @@
-"""The handlers, one module for each kind of call."""
+"""HTTP handlers, one module for each kind of call."""
 
 from .answers import AnswerHandler
 from .operator import (
--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/answers.py
@@ -1,4 +1,4 @@
-"""``/v1/requests/{id}``: run under a reserved id, come back, or give up."""
+"""``/v1/requests/{id}``: run under a reserved id, resume, or cancel."""
 
 from sycamore_core.errors import AuthenticationError
 from sycamore_core.identity import IdKind, RequestClaims
@@ -13,9 +13,9 @@
 )
 
 from ...answers import AnswerSink
+from ...checked_call import CheckedCall, make_model_request, make_plain_request
 from ...errors import RefusedError
 from ...exchanges import AttachExchange, CallerRequest, Exchange
-from ...intake import Intake, make_model_request, make_plain_request
 from ..auth import check_workspace, find_service
 from ..limits import read_terms
 from ..prompts import read_prompt
@@ -24,14 +24,14 @@
 from .plain import read_plain_call
 
 _ACCEPTED = 202
-_START = -1
+_FROM_START = -1
 
 
 class AnswerHandler(BodyHandler):
-    """Everything that is done with a request id."""
+    """Runs, resumes and cancels requests by their id."""
 
     def prepare(self) -> None:
-        """Check the id and that it is the caller's own."""
+        """Check the id, and that it belongs to the caller's workspace."""
         self.fleet = self.context.fleet()
         self.claims = self._read_claims()
         self.workspace: WorkspaceSettings = check_workspace(
@@ -40,24 +40,26 @@
             self.authorization,
         )
         service = find_service(self.workspace, self.claims.service)
-        self.check_length(service.max_body_bytes)
+        self.set_body_limit(service.max_body_bytes)
 
     async def put(self, request_id: str) -> None:
-        """Run a request under a reserved id, at its endpoint or nowhere."""
-        self.context.check_open()
+        """Run a request under a reserved id, only at the endpoint of the id."""
+        self.context.check_not_draining()
         if self.claims.kind != IdKind.BOUND:
             raise RefusedError(
                 RefusalReason.BAD_REQUEST,
-                'this id was not made by a reservation',
+                'this id does not come from a reservation',
             )
         request = self._bound_request(RequestId(request_id))
         await self._check_incarnation()
-        exchange = Exchange(self.context.entry, request, self._sink())
+        exchange = Exchange(
+            self.context.entry, request, self._make_answer_sink()
+        )
         await self.serve(exchange.run())
 
     async def get(self, request_id: str) -> None:
-        """Send the answer from the event after the named one on."""
-        after = self.get_query_argument('after', str(_START))
+        """Send the answer from the event that follows ``after``."""
+        after = self.get_query_argument('after', str(_FROM_START))
         if not after.removeprefix('-').isdigit():
             raise RefusedError(
                 RefusalReason.BAD_REQUEST,
@@ -67,14 +69,15 @@
             self.context.entry,
             RequestId(request_id),
             self.claims,
-            max(_START, int(after)),
+            max(_FROM_START, int(after)),
         )
-        await self.serve(exchange.run(self.fleet, self._sink()))
+        await self.serve(exchange.run(self.fleet, self._make_answer_sink()))
 
     async def delete(self, request_id: str) -> None:
-        """Give the request up wherever it runs."""
+        """Cancel the request at all endpoints of the service."""
         names = [
-            one.endpoint for one in self.fleet.endpoints_of(self.claims.service)
+            endpoint.endpoint
+            for endpoint in self.fleet.endpoints_of(self.claims.service)
         ]
         for name in names:
             link = self.context.entry.links.open(name)
@@ -93,12 +96,12 @@
         except AuthenticationError as error:
             raise RefusedError(
                 RefusalReason.FORGED_REQUEST_ID,
-                'the request id was not made by this system',
+                'the request id was not issued by this system',
             ) from error
 
     def _bound_request(self, request_id: RequestId) -> CallerRequest:
         service = self.workspace.services[self.claims.service]
-        intake = Intake(
+        checked_call = CheckedCall(
             fleet=self.fleet,
             workspace=self.workspace,
             service_id=ServiceId(self.claims.service),
@@ -110,27 +113,27 @@
             arrival=self.context.entry.now(),
             claims=self.claims,
         )
-        body = self.take_body()
+        body = self.pop_body()
         if service.kind == EndpointKind.PLAIN:
             call = read_plain_call(self)
-            return make_plain_request(intake, request_id, call, body)
-        return make_model_request(intake, request_id, read_prompt(body))
+            return make_plain_request(checked_call, request_id, call, body)
+        return make_model_request(checked_call, request_id, read_prompt(body))
 
     async def _check_incarnation(self) -> None:
-        # Any other incarnation would decline the offer. Answered here, a
-        # caller does not wait for an endpoint that will never come back.
+        # Any other incarnation would decline the offer. This check spares the
+        # caller a wait for an endpoint process that no longer exists.
         minter = EndpointId(self.claims.minter)
-        link = await self.context.entry.links.reach(minter)
+        link = await self.context.entry.links.wait_for_report(minter)
         if link is None or link.incarnation == self.claims.incarnation:
             return
         raise RefusedError(
             RefusalReason.OUTCOME_UNKNOWN,
-            'the endpoint process that made this id is gone',
+            'the endpoint process that issued this id no longer exists',
             execution=Execution.UNKNOWN,
         )
 
-    def _sink(self) -> AnswerSink:
+    def _make_answer_sink(self) -> AnswerSink:
         service = self.workspace.services[self.claims.service]
         if service.kind == EndpointKind.PLAIN:
             return PlainSink(self)
-        return self.choose_sink()
+        return self.make_sink()
--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/base.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/base.py
@@ -1,4 +1,4 @@
-"""What the handlers have in common: errors, bodies and lost connections."""
+"""Base classes of the handlers: errors, bodies and lost connections."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -20,17 +20,17 @@
 
 
 class BaseHandler(RequestHandler):
-    """Answers every error by a problem document."""
+    """Answers every error with a problem document."""
 
     context: WebContext
 
     def initialize(self, context: WebContext) -> None:
-        """Take the shared parts."""
+        """Store the shared components."""
         self.context = context
 
     @property
     def authorization(self) -> str:
-        """The header with the API key."""
+        """The value of the header with the API key."""
         return self.request.headers.get('Authorization', '')
 
     def write_json(self, body: object) -> None:
@@ -48,79 +48,79 @@
         self.finish(set_problem(self, refused, request_id))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer an error that reached tornado; callers see no trace."""
+        """Answer an error that reached tornado, without a stack trace."""
         _, error, _ = kwargs.get('exc_info', (None, None, None))
         self.send_problem(_as_refusal(error, status_code))
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Log what is a fault of ours; refusals are logged elsewhere."""
+        """Log internal errors; refusals are logged elsewhere."""
         if not isinstance(value, (RefusedError, HTTPError)):
             self.context.entry.log.error('handler_failed', error=repr(value))
 
 
 @stream_request_body
 class BodyHandler(BaseHandler):
-    """Takes a body piece by piece up to a limit that `prepare` sets."""
+    """Receives a body in chunks, up to a limit that `prepare` sets."""
 
     def initialize(self, context: WebContext) -> None:
-        """Begin with an empty body."""
+        """Initialize with an empty body."""
         super().initialize(context)
-        self._pieces: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._size = 0
         self.max_body_bytes = 0
         self._task: asyncio.Task[None] | None = None
 
-    def check_length(self, limit: int) -> None:
-        """Keep no more of the body than `limit`, in bytes.
+    def set_body_limit(self, limit: int) -> None:
+        """Set the maximum size of the body, in bytes.
 
-        What goes wrong if a larger one is refused before it has been read:
-        the connection is closed under a caller that is still sending, and a
-        reset destroys the refusal on its way. The rest is read and dropped
-        instead, up to what the server takes at all.
+        A larger body is read to its end and discarded, up to the limit of the
+        server, before it is refused. An earlier refusal would close the
+        connection while the caller is still sending, and the reset could
+        destroy the refusal in transit.
         """
         self.max_body_bytes = limit
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a piece of the body."""
+        """Store a chunk of the body."""
         self._size += len(chunk)
         if self._size > self.max_body_bytes:
-            self._pieces.clear()
+            self._chunks.clear()
         else:
-            self._pieces.append(chunk)
+            self._chunks.append(chunk)
 
     def new_request_id(self, workspace: str, service: str) -> RequestId:
-        """Return an id for this call, the same for the same caller's key."""
+        """Return an id for this call; the same key gives the same id."""
         key = self.terms.idempotency_key
         return self.context.new_request_id(workspace, service, key)
 
-    def take_body(self) -> bytes:
-        """Return the whole body and keep none of it.
+    def pop_body(self) -> bytes:
+        """Return the complete body and release the stored chunks.
 
         Raises
         ------
         RefusedError
-            If it was larger than the limit.
+            If the body was larger than the limit.
         """
         if self._size > self.max_body_bytes:
             raise _too_large(self.max_body_bytes)
-        body = b''.join(self._pieces)
-        self._pieces.clear()
+        body = b''.join(self._chunks)
+        self._chunks.clear()
         return body
 
     def on_connection_close(self) -> None:
-        """Stop serving a caller that went away."""
+        """Cancel the exchange of a caller that disconnected."""
         if self._task is not None:
             self._task.cancel()
 
     async def serve(self, exchange: Coroutine[Any, Any, None]) -> None:
-        """Run an exchange until its end or that of the connection."""
+        """Run an exchange until it ends or the connection closes."""
         self._task = asyncio.create_task(exchange)
         await asyncio.wait((self._task,))
         if not self._task.cancelled():
             self._task.result()
 
-    def choose_sink(self) -> AnswerSink:
-        """Return the form of answer that the caller accepts."""
+    def make_sink(self) -> AnswerSink:
+        """Return a sink for the format that the caller accepts."""
         if _STREAM_TYPE in self.request.headers.get('Accept', ''):
             return EventStreamSink(self)
         return DocumentSink(self)
--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/operator.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/operator.py
@@ -1,4 +1,4 @@
-"""``/v1/operator/...``: what operators see of this entry process."""
+"""``/v1/operator/...``: the state of this entry process for operators."""
 
 from sycamore_core.ids import RequestId
 from sycamore_core.states import RefusalReason
@@ -8,11 +8,11 @@
 from ..auth import check_operator
 from .base import BaseHandler
 
-_NEWEST = 100
+_MAX_LISTED_RECORDS = 100
 
 
 class OperatorHandler(BaseHandler):
-    """Open to operators only."""
+    """Base class of handlers that require an operator's key."""
 
     def prepare(self) -> None:
         """Check the operator's key."""
@@ -20,7 +20,7 @@
 
 
 class FleetHandler(OperatorHandler):
-    """Endpoints, leases, queues and the versions in force."""
+    """Serves the endpoints, leases, queues and versions in force."""
 
     def get(self) -> None:
         """Answer with the overview."""
@@ -28,7 +28,7 @@
 
 
 class AttainmentHandler(OperatorHandler):
-    """Targets met and missed, and the penalties owed."""
+    """Serves the targets met and missed, and the penalties owed."""
 
     def get(self) -> None:
         """Answer with one row for each target."""
@@ -36,15 +36,15 @@
 
 
 class RecordsHandler(OperatorHandler):
-    """The newest refused or failed requests."""
+    """Serves the newest refused or failed requests."""
 
     def get(self) -> None:
         """Answer with the newest records."""
-        self.write_json(self.context.entry.records.newest(_NEWEST))
+        self.write_json(self.context.entry.records.newest(_MAX_LISTED_RECORDS))
 
 
 class RecordHandler(OperatorHandler):
-    """One refused or failed request."""
+    """Serves the record of one refused or failed request."""
 
     def get(self, request_id: str) -> None:
         """Answer with the record."""
--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/plain.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/plain.py
@@ -3,8 +3,8 @@
 from sycamore_core.messages import PlainCall
 from tornado.web import RequestHandler
 
+from ...checked_call import make_plain_request
 from ...exchanges import Exchange
-from ...intake import make_plain_request
 from ..sinks import PlainSink
 from .service import ServiceHandler
 
@@ -15,10 +15,10 @@
     async def get(self, workspace: str, service: str, path: str) -> None:
         """Make the call."""
         request = make_plain_request(
-            self.make_intake(),
+            self.make_checked_call(),
             self.new_request_id(workspace, service),
             PlainCall(self.request.method, path, _content_type(self)),
-            self.take_body(),
+            self.pop_body(),
         )
         exchange = Exchange(self.context.entry, request, PlainSink(self))
         await self.serve(exchange.run())
--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/reservations.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/reservations.py
@@ -1,4 +1,4 @@
-"""``POST /v1/workspaces/{w}/services/{s}/reservations``: an id, nothing run."""
+"""``POST /v1/workspaces/{w}/services/{s}/reservations``: reserve an id."""
 
 import random
 
@@ -14,18 +14,18 @@
 
 
 class ReservationBody(msgspec.Struct, frozen=True):
-    """The id, and for how many seconds it can be used."""
+    """The reserved id, and its remaining validity in seconds."""
 
     request_id: RequestId
     expires_in: float
 
 
 class ReservationsHandler(BaseHandler):
-    """Has an endpoint process mint an id."""
+    """Reserves an id that an endpoint process mints."""
 
     async def post(self, workspace: str, service: str) -> None:
         """Answer with the id."""
-        self.context.check_open()
+        self.context.check_not_draining()
         fleet = self.context.fleet()
         known = check_workspace(
             fleet,
@@ -33,7 +33,7 @@
             self.authorization,
         )
         find_service(known, ServiceId(service))
-        names = [one.endpoint for one in fleet.endpoints_of(service)]
+        names = [endpoint.endpoint for endpoint in fleet.endpoints_of(service)]
         links = [self.context.entry.links.find(name) for name in names]
         reserved = await self.context.reservations.reserve(
             _by_load([link for link in links if link is not None]),
@@ -48,17 +48,17 @@
 
 
 def _by_load(links: list[EndpointLink]) -> list[EndpointLink]:
-    """Order live endpoints: the less busy of each random two comes first."""
+    """Shuffle live endpoints; the less loaded of the first two leads."""
     live = [
         link
         for link in links
         if link.report is not None and link.report.phase == EndpointPhase.LIVE
     ]
     random.shuffle(live)
-    first_two = sorted(live[:2], key=_busyness)
+    first_two = sorted(live[:2], key=_request_count)
     return first_two + live[2:]
 
 
-def _busyness(link: EndpointLink) -> int:
+def _request_count(link: EndpointLink) -> int:
     report = link.report
     return 0 if report is None else report.running + report.waiting
--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/service.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/service.py
@@ -1,19 +1,19 @@
-"""What the calls to a service of a workspace have in common."""
+"""Base class of handlers for calls to a service of a workspace."""
 
 from sycamore_core.ids import ServiceId, WorkspaceId
 
-from ...intake import Intake
+from ...checked_call import CheckedCall
 from ..auth import check_workspace, find_service
 from ..limits import read_terms
 from .base import BodyHandler
 
 
 class ServiceHandler(BodyHandler):
-    """Checks all of a call that does not need its body."""
+    """Checks all parts of a call that precede its body."""
 
     def prepare(self) -> None:
         """Check the key, the service, the headers and the length."""
-        self.context.check_open()
+        self.context.check_not_draining()
         self.fleet = self.context.fleet()
         self.workspace = check_workspace(
             self.fleet,
@@ -27,11 +27,11 @@
             service,
             self.request.method,
         )
-        self.check_length(service.max_body_bytes)
+        self.set_body_limit(service.max_body_bytes)
 
-    def make_intake(self) -> Intake:
-        """Return what is known of the call before its body is read."""
-        return Intake(
+    def make_checked_call(self) -> CheckedCall:
+        """Return the checked call, without its body."""
+        return CheckedCall(
             fleet=self.fleet,
             workspace=self.workspace,
             service_id=self.service_id,
--- a/packages/sycamore-entry/src/sycamore_entry/web/limits.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/limits.py
@@ -1,4 +1,4 @@
-"""What a caller asks for in headers, checked against its service's limits."""
+"""Request headers, checked against the limits of the service."""
 
 import uuid
 from collections.abc import Mapping
@@ -11,10 +11,10 @@
 from ..errors import RefusedError
 
 _TIME_ORDERED_VERSION = 7
-_FLAGS = ('true', 'false')
-#: Methods that change nothing. A call to a plain service by another one may
-#: run at most once unless its caller says that it may be repeated: a deposit
-#: must not be recorded twice because somebody forgot a header.
+_BOOLEAN_VALUES = ('true', 'false')
+#: Methods without side effects. A call to a plain service with any other method
+#: runs at most once unless the caller declares it idempotent, so that a missing
+#: header cannot cause, for example, a deposit to be recorded twice.
 SAFE_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS'))
 
 
@@ -41,7 +41,7 @@
     Raises
     ------
     RefusedError
-        If one of them is missing or out of its limits.
+        If a header is missing, malformed or out of its limits.
     """
     return CallTerms(
         time_limit=_time_limit(headers.get('Time-Limit', ''), service),
@@ -49,7 +49,7 @@
             headers.get('Idempotent', ''),
             may_repeat=service.idempotent and _is_safe(method, service),
         ),
-        idempotency_key=_key(headers.get('Idempotency-Key', '')),
+        idempotency_key=_idempotency_key(headers.get('Idempotency-Key', '')),
     )
 
 
@@ -59,15 +59,15 @@
             return service.default_time_limit_seconds
         raise RefusedError(
             RefusalReason.TIME_LIMIT_MISSING,
-            'name a time limit in seconds in the header Time-Limit',
+            'the header Time-Limit with a time limit in seconds is missing',
         )
     try:
         seconds = float(text)
     except ValueError as error:
-        raise _bad('Time-Limit is not a number of seconds') from error
+        raise _bad_request('Time-Limit is not a number of seconds') from error
     if not 0 < seconds <= service.longest_time_limit_seconds:
         longest = service.longest_time_limit_seconds
-        raise _bad(f'Time-Limit is not between 0 and {longest} seconds')
+        raise _bad_request(f'Time-Limit is not between 0 and {longest} seconds')
     return seconds
 
 
@@ -78,12 +78,12 @@
 def _idempotent(text: str, *, may_repeat: bool) -> bool:
     if not text:
         return may_repeat
-    if text.lower() not in _FLAGS:
-        raise _bad('Idempotent is neither true nor false')
+    if text.lower() not in _BOOLEAN_VALUES:
+        raise _bad_request('Idempotent is neither true nor false')
     return text.lower() == 'true'
 
 
-def _key(text: str) -> IdempotencyKey:
+def _idempotency_key(text: str) -> IdempotencyKey:
     if not text:
         return IdempotencyKey('')
     try:
@@ -91,9 +91,9 @@
     except ValueError:
         version = None
     if version != _TIME_ORDERED_VERSION:
-        raise _bad('Idempotency-Key is not a UUID of version 7')
+        raise _bad_request('Idempotency-Key is not a UUID of version 7')
     return IdempotencyKey(text.lower())
 
 
-def _bad(detail: str) -> RefusedError:
+def _bad_request(detail: str) -> RefusedError:
     return RefusedError(RefusalReason.BAD_REQUEST, detail)
--- a/packages/sycamore-entry/src/sycamore_entry/web/problems.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/problems.py
@@ -1,4 +1,4 @@
-"""Refusals as typed JSON documents, never with a stack trace."""
+"""Refusals as problem documents in JSON, without stack traces."""
 
 import http
 from types import MappingProxyType
@@ -14,13 +14,13 @@
 _TYPE_PREFIX = 'urn:sycamorestack:refusal:'
 
 _BAD = http.HTTPStatus.BAD_REQUEST
-_BUSY = http.HTTPStatus.SERVICE_UNAVAILABLE
+_UNAVAILABLE = http.HTTPStatus.SERVICE_UNAVAILABLE
 _TOO_MANY = http.HTTPStatus.TOO_MANY_REQUESTS
 _GATEWAY = http.HTTPStatus.BAD_GATEWAY
 _TOO_LARGE = http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE
 _TIMEOUT = http.HTTPStatus.GATEWAY_TIMEOUT
 
-#: HTTP status of each reason; all others are 503, come back later.
+#: HTTP status of each reason; other reasons have status 503, try again later.
 STATUSES = MappingProxyType(
     {
         RefusalReason.BAD_REQUEST: _BAD,
@@ -51,14 +51,14 @@
     Attributes
     ----------
     not_run
-        True if the request was surely not run, False if it was, and the text
-        ``unknown`` if nobody can tell.
+        True if the request was certainly not run, False if it was run, and
+        the text ``unknown`` if the state is not known.
     this_call_not_run
-        The same of this call alone. A key of which an endpoint process is in
-        doubt may have run under an earlier call; whoever has just made the
-        key and reads True here can use a reserved id instead.
+        The same for this call alone. A key whose state an endpoint process
+        does not know may have run under an earlier call. A caller that has
+        just created the key and reads True here can use a reserved id.
     retry_after
-        When to come back, in seconds.
+        Delay before a retry, in seconds.
     """
 
     type: str
@@ -76,11 +76,11 @@
     refused: RefusedError,
     request_id: RequestId | None = None,
 ) -> Problem:
-    """Return the document that tells a caller of a refusal."""
+    """Return the problem document of a refusal."""
     return Problem(
         type=_TYPE_PREFIX + refused.reason.value,
         title=refused.reason.value.replace('_', ' '),
-        status=STATUSES.get(refused.reason, _BUSY).value,
+        status=STATUSES.get(refused.reason, _UNAVAILABLE).value,
         reason=refused.reason,
         not_run=_not_run(refused.execution),
         this_call_not_run=_not_run(refused.this_call),
--- a/packages/sycamore-entry/src/sycamore_entry/web/prompts.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/prompts.py
@@ -1,8 +1,8 @@
-"""Bodies of model requests: how large the prompt is and what it begins with.
+"""Bodies of model requests: size and leading blocks of the prompt.
 
-A prompt of a million tokens is several megabytes. Its JSON form is neither
-decoded into a list nor copied: it is cut out of the body as it stands and
-handed on, and its size is counted in that form.
+A prompt of a million tokens takes several megabytes. The module does not
+decode the JSON form of the prompt into a list. It extracts that form unchanged
+from the body, and counts the size in that form.
 """
 
 import hashlib
@@ -14,31 +14,31 @@
 
 from ..errors import RefusedError
 
-#: English text has about four bytes a token; a service whose tokenizer
-#: differs gets prompts as token ids.
+#: English text has about four bytes a token. A service with a different
+#: tokenizer gets prompts as token ids.
 BYTES_PER_TOKEN = 4
-#: Text in one block, about 512 tokens: the block size of the engines.
+#: Size of one block, about 512 tokens, which is the block size of the engines.
 BLOCK_BYTES = 2048
-#: Blocks hashed at most: what lies further back than 131,072 tokens does not
-#: change where a prompt is placed.
+#: Maximum number of hashed blocks. Content beyond 131,072 tokens does not
+#: change the placement of a prompt.
 MAX_BLOCKS = 256
 _HASH_BYTES = 7
 _TOKEN_LIST = re.compile(rb'\[[\d,\s]*\]')
 
 
 class PromptBody(msgspec.Struct, frozen=True):
-    """A model request as its caller wrote it.
+    """The body of a model request.
 
     Attributes
     ----------
     prompt
-        Text; either this or `tokens`.
+        Text; a body has either `prompt` or `tokens`.
     tokens
         Token ids.
     blocks
         Hashes of the blocks of the prompt, if the caller knows them.
     max_output_tokens
-        Tokens generated at most; 0 for the service's maximum.
+        Maximum number of generated tokens; 0 for the limit of the service.
     """
 
     prompt: msgspec.Raw = msgspec.Raw()
@@ -60,12 +60,13 @@
 
 
 def read_prompt(body: bytes) -> Prompt:
-    """Read the body of a model request.
+    """Parse the body of a model request.
 
     Raises
     ------
     RefusedError
-        If it is not what the page on protocols describes.
+        If the body does not have the form that the page on protocols
+        describes.
 
     Examples
     --------
@@ -75,13 +76,13 @@
     try:
         parsed = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise _bad(str(error)) from error
+        raise _bad_request(str(error)) from error
     prompt = bytes(parsed.prompt)
     tokens = bytes(parsed.tokens)
     if bool(prompt) == bool(tokens):
-        raise _bad('give either "prompt" or "tokens"')
+        raise _bad_request('give either "prompt" or "tokens"')
     if parsed.max_output_tokens < 0:
-        raise _bad('"max_output_tokens" is negative')
+        raise _bad_request('"max_output_tokens" is negative')
     payload = prompt or tokens
     return Prompt(
         payload=payload,
@@ -92,7 +93,7 @@
 
 
 def hash_blocks(payload: bytes) -> tuple[BlockHash, ...]:
-    """Return the hash of each whole block with all the blocks before it."""
+    """Return a hash of each full block together with all earlier blocks."""
     view = memoryview(payload)
     whole = min(len(payload) // BLOCK_BYTES, MAX_BLOCKS)
     chain = hashlib.blake2b(digest_size=_HASH_BYTES)
@@ -106,18 +107,18 @@
 
 def _count_tokens(tokens: bytes) -> int:
     if _TOKEN_LIST.fullmatch(tokens) is None:
-        raise _bad('"tokens" is not a list of token ids')
+        raise _bad_request('"tokens" is not a list of token ids')
     count = tokens.count(b',') + 1
     if count == 1 and not tokens.strip(b'[] \t\r\n'):
-        raise _bad('"tokens" is empty')
+        raise _bad_request('"tokens" is empty')
     return count
 
 
 def _count_text(prompt: bytes) -> int:
     if not prompt.startswith(b'"'):
-        raise _bad('"prompt" is not text')
+        raise _bad_request('"prompt" is not text')
     return len(prompt) // BYTES_PER_TOKEN + 1
 
 
-def _bad(detail: str) -> RefusedError:
+def _bad_request(detail: str) -> RefusedError:
     return RefusedError(RefusalReason.BAD_REQUEST, detail)
--- a/packages/sycamore-entry/src/sycamore_entry/web/shared.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/shared.py
@@ -1,4 +1,4 @@
-"""What all handlers share."""
+"""The components that all handlers share."""
 
 import asyncio
 import dataclasses
@@ -13,19 +13,19 @@
 from ..exchanges import EntryContext
 from ..reservations import Reservations
 
-_COME_BACK_SECONDS = 1.0
+_RETRY_AFTER_SECONDS = 1.0
 
 
 @dataclasses.dataclass
 class WebContext:
-    """The parts of the entry process that handlers use.
+    """The components of the entry process that handlers use.
 
     Attributes
     ----------
     current_fleet
-        Returns the settings in force, or None before the first ones.
+        Returns the settings in force, or None if there are none yet.
     draining
-        Set once the process takes no new requests.
+        Set once the process accepts no new requests.
     """
 
     entry: EntryContext
@@ -48,12 +48,12 @@
             raise RefusedError(
                 RefusalReason.SETTINGS_NOT_READY,
                 'no settings have been accepted yet',
-                retry_after=_COME_BACK_SECONDS,
+                retry_after=_RETRY_AFTER_SECONDS,
             )
         return fleet
 
-    def check_open(self) -> None:
-        """Refuse new work while the process drains.
+    def check_not_draining(self) -> None:
+        """Refuse new requests while the process drains.
 
         Raises
         ------
@@ -63,6 +63,6 @@
         if self.draining.is_set():
             raise RefusedError(
                 RefusalReason.SHUTTING_DOWN,
-                'this entry is shutting down; another one serves',
-                retry_after=_COME_BACK_SECONDS,
+                'this entry is shutting down; use another entry',
+                retry_after=_RETRY_AFTER_SECONDS,
             )
--- a/packages/sycamore-entry/src/sycamore_entry/web/sinks.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/sinks.py
@@ -1,4 +1,4 @@
-"""The forms in which a caller takes an answer."""
+"""The formats in which a caller can receive an answer."""
 
 import abc
 from collections.abc import Sequence
@@ -20,14 +20,14 @@
 _STREAM_TYPE = 'text/event-stream'
 
 
-class TextPiece(msgspec.Struct, frozen=True):
-    """Data of one event of a stream."""
+class TextEvent(msgspec.Struct, frozen=True):
+    """Data of one event in a stream."""
 
     text: str
     tokens: int
 
 
-class Ending(msgspec.Struct, frozen=True):
+class ClosingEvent(msgspec.Struct, frozen=True):
     """Data of the event that closes a stream."""
 
     outcome: Outcome
@@ -37,8 +37,8 @@
     reason: str = ''
 
 
-class Document(msgspec.Struct, frozen=True):
-    """A whole answer in one piece."""
+class AnswerDocument(msgspec.Struct, frozen=True):
+    """A complete answer in one document."""
 
     request_id: RequestId
     outcome: Outcome
@@ -49,7 +49,7 @@
 
 
 class HandlerSink(AnswerSink, abc.ABC):
-    """Writes to the connection of one handler."""
+    """Base class of sinks that write to the connection of a handler."""
 
     def __init__(self, handler: RequestHandler) -> None:
         self.handler = handler
@@ -62,17 +62,17 @@
         """Send a problem document, unless an answer has begun."""
         await self._finish(set_problem(self.handler, refused, request_id))
 
-    def abandon(self) -> None:
-        """Close the connection, which no caller takes for an answer."""
+    def abort(self) -> None:
+        """Close the connection, so that the answer is visibly incomplete."""
         connection = self.handler.request.connection
         connection.stream.close()
 
     def _send_without_delay(self) -> None:
-        """Have each piece of an answer sent at once.
+        """Disable Nagle's algorithm for the connection.
 
-        What goes wrong otherwise: the kernel holds a small piece back until
-        the caller has acknowledged the one before, which callers do up to
-        40 ms late; the first token waits behind the headers.
+        Otherwise, the kernel holds back a small segment until the caller has
+        acknowledged the segment before, and callers delay acknowledgements by
+        up to 40 ms. The first token would then wait behind the headers.
         """
         connection = self.handler.request.connection
         connection.stream.set_nodelay(True)
@@ -91,40 +91,42 @@
 
 
 class EventStreamSink(HandlerSink):
-    """Server-sent events, numbered, with a closing event."""
+    """Sends numbered server-sent events and a closing event."""
 
     def __init__(self, handler: RequestHandler) -> None:
         super().__init__(handler)
-        self.has_begun = False
+        self.has_started = False
 
-    async def admitted(self, request_id: RequestId) -> None:
-        """Send the id at once, so that the caller can come back with it."""
-        if self.has_begun:
+    async def start(self, request_id: RequestId) -> None:
+        """Send the id immediately, so that the caller can reconnect with it."""
+        if self.has_started:
             return
-        self.has_begun = True
+        self.has_started = True
         self.handler.set_header(_TYPE_HEADER, _STREAM_TYPE)
         self.handler.set_header('Cache-Control', 'no-store')
         self._send_without_delay()
         self.handler.set_header(_ID_HEADER, request_id)
         await self._flush()
 
-    async def frames(self, frames: Sequence[Frame]) -> None:
+    async def write_frames(self, frames: Sequence[Frame]) -> None:
         """Send one event for each frame."""
         for frame in frames:
-            piece = TextPiece(frame.payload.decode(), frame.tokens)
-            self._write(frame.sequence, b'tokens', msgspec.json.encode(piece))
+            text_event = TextEvent(frame.payload.decode(), frame.tokens)
+            self._write_event(
+                frame.sequence, b'tokens', msgspec.json.encode(text_event)
+            )
         await self._flush()
 
     async def close(self, close: Close) -> None:
         """Send the closing event."""
-        ending = Ending(
+        closing = ClosingEvent(
             outcome=close.outcome,
             frames=close.frames,
             checksum=close.checksum,
             output_tokens=close.output_tokens,
             reason=close.reason.value if close.reason else '',
         )
-        self._write(close.frames, b'close', msgspec.json.encode(ending))
+        self._write_event(close.frames, b'close', msgspec.json.encode(closing))
         await self._finish()
 
     async def refuse(
@@ -133,41 +135,43 @@
         refused: RefusedError,
     ) -> None:
         """Send a problem document, as an event if a stream has begun."""
-        if not self.has_begun:
+        if not self.has_started:
             await super().refuse(request_id, refused)
             return
         problem = make_problem(refused, request_id)
-        self._write(None, b'problem', msgspec.json.encode(problem))
+        self._write_event(None, b'problem', msgspec.json.encode(problem))
         await self._finish()
 
-    def _write(self, number: int | None, kind: bytes, body: bytes) -> None:
+    def _write_event(
+        self, number: int | None, kind: bytes, body: bytes
+    ) -> None:
         if number is not None:
             self.handler.write(b'id: %d\n' % number)
         self.handler.write(b'event: %s\ndata: %s\n\n' % (kind, body))
 
 
 class DocumentSink(HandlerSink):
-    """One JSON document once the answer is whole."""
+    """Sends a JSON document once the answer is complete."""
 
     def __init__(self, handler: RequestHandler) -> None:
         super().__init__(handler)
-        self._pieces: list[bytes] = []
+        self._payloads: list[bytes] = []
         self._request_id = RequestId('')
 
-    async def admitted(self, request_id: RequestId) -> None:
-        """Keep the id for the document."""
+    async def start(self, request_id: RequestId) -> None:
+        """Store the id for the document."""
         self._request_id = request_id
 
-    async def frames(self, frames: Sequence[Frame]) -> None:
-        """Keep some pieces for the document."""
-        self._pieces.extend(frame.payload for frame in frames)
+    async def write_frames(self, frames: Sequence[Frame]) -> None:
+        """Store the payloads for the document."""
+        self._payloads.extend(frame.payload for frame in frames)
 
     async def close(self, close: Close) -> None:
         """Send the document."""
-        document = Document(
+        document = AnswerDocument(
             request_id=self._request_id,
             outcome=close.outcome,
-            text=b''.join(self._pieces).decode(),
+            text=b''.join(self._payloads).decode(),
             output_tokens=close.output_tokens,
             frames=close.frames,
             checksum=close.checksum,
@@ -178,21 +182,21 @@
 
 
 class PlainSink(HandlerSink):
-    """The answer of a plain service as it stands."""
+    """Sends the answer of a plain service unchanged."""
 
     def __init__(self, handler: RequestHandler) -> None:
         super().__init__(handler)
-        self.has_begun = False
+        self.has_started = False
 
-    async def admitted(self, request_id: RequestId) -> None:
-        """Name the id in the answer."""
+    async def start(self, request_id: RequestId) -> None:
+        """Set the header with the request id."""
         self.handler.set_header(_ID_HEADER, request_id)
 
-    async def frames(self, frames: Sequence[Frame]) -> None:
-        """Hand on the status, then the body."""
-        if not self.has_begun:
+    async def write_frames(self, frames: Sequence[Frame]) -> None:
+        """Write the status, then the body."""
+        if not self.has_started:
             self._send_without_delay()
-        self.has_begun = True
+        self.has_started = True
         for frame in frames:
             if frame.plain_reply is not None:
                 self._set_status(frame.plain_reply)
@@ -200,20 +204,20 @@
         await self._flush()
 
     async def close(self, close: Close) -> None:
-        """End the answer, or break it off so that it is not taken for one."""
+        """End the answer, or abort it visibly if it is incomplete."""
         if close.outcome == Outcome.COMPLETE:
             await self._finish()
         else:
-            self.abandon()
+            self.abort()
 
     async def refuse(
         self,
         request_id: RequestId,
         refused: RefusedError,
     ) -> None:
-        """Send a problem document, or break off an answer that has begun."""
-        if self.has_begun:
-            self.abandon()
+        """Send a problem document, or abort an answer that has begun."""
+        if self.has_started:
+            self.abort()
             return
         await super().refuse(request_id, refused)
 
--- a/packages/sycamore-entry/src/sycamore_entry/web/tests/test_app.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/tests/test_app.py
@@ -1,4 +1,4 @@
-"""Tests of what callers are told over HTTP when a call is not acceptable."""
+"""Tests of HTTP responses to calls that are not acceptable."""
 
 import asyncio
 import socket
@@ -151,8 +151,8 @@
     assert response.headers['Retry-After'] == '1'
 
 
-def test_before_the_first_settings_nothing_is_served() -> None:
-    """An entry starts while the platform's settings service is down."""
+def test_entry_without_settings_refuses_requests() -> None:
+    """An entry starts while the settings service of the platform is down."""
     context = make_web_context(None)
     response = call(CHAT, GOOD, context=context)
     assert problem_of(response)['reason'] == 'settings_not_ready'
@@ -160,7 +160,7 @@
     assert health.code == 503
 
 
-def test_draining_entry_takes_nothing_new() -> None:
+def test_draining_entry_refuses_new_requests() -> None:
     """The platform replaces an entry while callers still reach it."""
     context = make_web_context(make_fleet())
     context.draining.set()
@@ -170,8 +170,8 @@
     assert problem['not_run'] is True
 
 
-def test_answer_of_another_workspace_is_not_given() -> None:
-    """A school finds out the request id of a rival and asks for its answer."""
+def test_answer_of_another_workspace_is_refused() -> None:
+    """A workspace requests an answer by the request id of another one."""
     claims = RequestClaims(
         kind=IdKind.ENTRY,
         workspace=WorkspaceId('rival'),
@@ -187,11 +187,11 @@
     assert response.code == 401
 
 
-def test_failure_of_ours_shows_no_trace() -> None:
-    """A fault in our own code must not tell callers about its insides.
+def test_internal_error_shows_no_trace() -> None:
+    """An internal error must not expose a stack trace to callers.
 
-    Nor may it claim that the request was not run: nobody knows how far it
-    came.
+    The response must not claim that the request was not run either, since
+    the progress of the request is unknown.
     """
     context = make_web_context(make_fleet())
     context.new_request_id = None
--- a/packages/sycamore-entry/src/sycamore_entry/web/tests/test_prompts.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/tests/test_prompts.py
@@ -1,4 +1,4 @@
-"""Tests of reading bodies and headers of requests."""
+"""Tests of parsing the bodies and headers of requests."""
 
 import uuid
 
@@ -54,7 +54,7 @@
     assert caught.value.execution == Execution.NOT_RUN
 
 
-def test_shared_beginnings_have_shared_blocks() -> None:
+def test_prompts_with_a_common_prefix_share_block_hashes() -> None:
     beginning = b'x' * (2 * BLOCK_BYTES)
     one = hash_blocks(beginning + b'1' * BLOCK_BYTES)
     two = hash_blocks(beginning + b'2' * BLOCK_BYTES)
@@ -114,14 +114,15 @@
         (EndpointKind.MODEL, 'POST', {}, True),
     ],
 )
-def test_only_safe_calls_may_be_repeated_unasked(
+def test_only_safe_methods_are_idempotent_by_default(
     kind: EndpointKind,
     method: str,
     headers: dict[str, str],
     idempotent: bool,
 ) -> None:
-    """A guest's deposit is posted without the header that says it must not
-    be repeated; a retry would charge the family twice.
+    """A deposit is posted without the header that forbids a repetition.
+
+    A retry would charge the customer twice.
     """
     service = ServiceSettings(kind=kind)
     terms = read_terms({'Time-Limit': '1', **headers}, service, method)
@@ -136,7 +137,7 @@
         (Execution.UNKNOWN, 'unknown'),
     ],
 )
-def test_problem_says_what_is_known(
+def test_problem_reports_the_execution_state(
     execution: Execution,
     not_run: bool | str,
 ) -> None:
