--- a/packages/sycamore-entry/src/sycamore_entry/checked_call.py
+++ b/packages/sycamore-entry/src/sycamore_entry/checked_call.py
@@ -145,8 +145,8 @@
 def _output_tokens(service: ServiceSettings, prompt: Prompt) -> int:
     if service.kind == EndpointKind.PLAIN:
         return 0
-    asked = prompt.max_output_tokens or service.max_output_tokens
-    return min(asked, service.max_output_tokens)
+    requested = prompt.max_output_tokens or service.max_output_tokens
+    return min(requested, service.max_output_tokens)
 
 
 def _pinned_to(checked_call: CheckedCall) -> EndpointId | None:
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/progress.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/progress.py
@@ -87,12 +87,12 @@
         Raises
         ------
         RefusedError
-            If there is to be no other attempt.
+            If no other attempt is allowed.
         """
         known = declined.execution
-        is_clear = known == Execution.NOT_RUN
+        is_not_run = known == Execution.NOT_RUN
         self.this_call = self._previous_this_call
-        self.execution = self._previous_execution if is_clear else known
+        self.execution = self._previous_execution if is_not_run else known
         refusal = Refusal(
             self.request.view.request_id,
             declined.reason,
@@ -109,7 +109,7 @@
         Raises
         ------
         RefusedError
-            If there is to be no other attempt.
+            If no other attempt is allowed.
         """
         self.execution = self._previous_execution
         self.this_call = self._previous_this_call
@@ -129,7 +129,7 @@
         Raises
         ------
         RefusedError
-            If there is to be no other attempt.
+            If no other attempt is allowed.
         """
         self.cancel_run(CancelReason.SUPERSEDED)
         self.execution = Execution.UNKNOWN
@@ -143,7 +143,7 @@
         Raises
         ------
         RefusedError
-            If there is to be no other attempt.
+            If no other attempt is allowed.
         """
         if not self._is_retry_allowed:
             known = reason or RefusalReason.BACKEND_FAILED
@@ -191,8 +191,8 @@
 
     @property
     def _is_retry_allowed(self) -> bool:
-        is_clear = self.execution == Execution.NOT_RUN
-        return is_clear or self.request.view.idempotent
+        is_not_run = self.execution == Execution.NOT_RUN
+        return is_not_run or self.request.view.idempotent
 
     def _apply_decision(self, decision: Requeued | Refusal) -> None:
         if isinstance(decision, Refusal):
