--- a/packages/sycamore-core/src/sycamore_core/membership/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which entries there are, and which of them an entry talks to how often."""
+"""Membership of entries: who is alive, and who exchanges updates with whom."""
 
 from .member import Member, MemberState
 from .members import LARGEST_CELL, Membership
--- a/packages/sycamore-core/src/sycamore_core/membership/member.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/member.py
@@ -1,4 +1,4 @@
-"""Another entry, as this one knows it."""
+"""Record of another entry."""
 
 import enum
 
@@ -8,39 +8,40 @@
 
 
 class MemberState(enum.Enum):
-    """What is believed of an entry."""
+    """Liveness of another entry, as far as it is known."""
 
-    #: Others have named it; it has not been heard.
-    NAMED = 'named'
-    LIVING = 'living'
-    #: Nothing was heard of it for too long: it is gone, or cut off.
+    #: Reported by other entries, but not confirmed.
+    UNCONFIRMED = 'named'
+    ALIVE = 'living'
+    #: Silent for longer than the timeout: stopped or disconnected.
     LOST = 'lost'
 
 
 class Member(msgspec.Struct, kw_only=True):
-    """Another entry, by the address at which it listens.
+    """Another entry, identified by the address at which it listens.
 
     Attributes
     ----------
     name
-        What it calls itself; empty until it was heard.
-    heard_at
-        When it was heard last, or named by its own cell, on the monotonic
-        clock; when it was first named, if neither ever happened.
+        Name that the entry reports; empty until a message arrives from it.
+    last_seen_at
+        Monotonic time of the last message from the entry, or of the last
+        confirmation by its own cell, in seconds. Until either happens, the
+        time when the entry was first reported.
     """
 
     address: str
     zone: ZoneId
-    heard_at: float
+    last_seen_at: float
     name: PeerId = PeerId('')
-    state: MemberState = MemberState.NAMED
+    state: MemberState = MemberState.UNCONFIRMED
 
     @property
-    def is_living(self) -> bool:
-        """Whether it can be counted on."""
-        return self.state is MemberState.LIVING
+    def is_alive(self) -> bool:
+        """Whether the entry is known to be alive."""
+        return self.state is MemberState.ALIVE
 
     @property
     def is_lost(self) -> bool:
-        """Whether it is not worth a try."""
+        """Whether the entry has been silent for too long."""
         return self.state is MemberState.LOST
--- a/packages/sycamore-core/src/sycamore_core/membership/members.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/members.py
@@ -1,15 +1,15 @@
-"""The entries of a fleet, and the cells that they form.
-
-What goes wrong without cells: each entry tells all others of every request,
-so that the messages of a fleet grow with the square of its entries and use up
-the processor share of small instances.
-
-A fleet of up to `LARGEST_CELL` entries is one cell. In a larger one each
-availability zone is a cell. Entries of one cell hear each other directly. One
-that falls silent counts as lost and is still sent updates, so that it rejoins
-as soon as it hears them. Of another cell an entry believes what its members
-say in turn: none of them has a role that another would have to take over when
-it dies.
+"""Membership of the entries of a fleet and their partition into cells.
+
+Without cells, each entry would report every request to all others. The number
+of messages would grow with the square of the number of entries and use up the
+processor share of small instances.
+
+A fleet of up to `LARGEST_CELL` entries is one cell. In a larger fleet each
+availability zone is a cell. Entries of one cell exchange updates directly. An
+entry that falls silent counts as lost but is still sent updates, so that it
+rejoins as soon as it receives them. An entry learns about another cell from
+the members of that cell, which report in turn. No member has a special role
+that another one would have to take over when it fails.
 """
 
 from collections.abc import Iterable
@@ -17,32 +17,32 @@
 from ..ids import PeerId, ZoneId
 from .member import Member, MemberState
 
-#: Entries up to which a fleet is one cell. Updates of a larger one would use up
-#: the processor share of a small instance.
+#: Maximum number of entries of a fleet that is one cell. Updates of a larger
+#: cell would use up the processor share of a small instance.
 LARGEST_CELL = 32
-#: Silence from which on an entry of the own cell is lost, in seconds: it tells
-#: what it has every second, and two messages in a row may be lost.
+#: Silence after which an entry of the own cell counts as lost, in seconds. It
+#: sends an update every second, and two messages in a row may be lost.
 NEAR_SILENCE = 3.2
-#: The same for an entry of another cell, in seconds. It is named about once a
-#: second by members of its cell, each at its own moment.
-FAR_SILENCE = 6.4
-#: Time after which a lost entry is forgotten, in seconds. Until then it is told
-#: what happens: one that starts anew may know nobody who lives.
+#: The same timeout for an entry of another cell, in seconds. The members of its
+#: cell confirm it about once a second, each at its own time.
+OTHER_CELL_TIMEOUT_SECONDS = 6.4
+#: Time after which a lost entry is removed, in seconds. Until then it is still
+#: sent updates, because an entry that restarts may know no live entry.
 FORGET_SECONDS = 120.0
 
 
 class Membership:
-    """The other entries, as one entry knows them.
+    """The other entries, as far as one entry knows them.
 
     Parameters
     ----------
     address, zone
-        The entry's own.
+        Address and zone of the entry itself.
 
     Attributes
     ----------
     members
-        The other entries, by address.
+        Records of the other entries, by address.
 
     Examples
     --------
@@ -62,37 +62,39 @@
 
     @property
     def is_one_cell(self) -> bool:
-        """Whether all entries hear one another directly."""
+        """Whether all entries exchange updates directly."""
         return len(self.members) < LARGEST_CELL
 
     @property
     def living(self) -> int:
-        """Return the number of living entries, this one included."""
-        others = [one for one in self.members.values() if one.is_living]
+        """Return the number of live entries, including this one."""
+        others = [one for one in self.members.values() if one.is_alive]
         return len(others) + 1
 
     @property
     def expected(self) -> int:
-        """Return the number of entries that may be at work, this one included.
+        """Return the number of entries that may be active, including this one.
 
-        What goes wrong with those that were heard: all entries start anew,
-        those of other cells are only named for a second, and each takes a
-        part of what is allowed for all that is five times too large.
+        Unconfirmed entries are counted. After a restart of all entries, those
+        of other cells stay unconfirmed for a second. If they were not counted,
+        each entry would claim a share of the fleet-wide limits that is five
+        times too large.
         """
         others = [one for one in self.members.values() if not one.is_lost]
         return len(others) + 1
 
     @property
     def heard_part(self) -> float:
-        """Return the part of all entries that is not lost.
+        """Return the share of all entries that is not lost.
 
-        Those that are lost may be at work where they cannot be heard.
+        Lost entries may still be active in a part of the network that this
+        entry cannot reach.
         """
         return self.expected / (len(self.members) + 1)
 
     @property
     def cells(self) -> frozenset[ZoneId]:
-        """Return the zones that are cells; none if there is only one cell."""
+        """Return the zones that are cells; empty if there is only one cell."""
         if self.is_one_cell:
             return frozenset()
         zones = {one.zone for one in self.members.values() if not one.is_lost}
@@ -100,18 +102,18 @@
 
     @property
     def other_zones(self) -> frozenset[ZoneId]:
-        """Return the zones of other cells, also of those that are lost."""
+        """Return the zones of other cells, including cells that are lost."""
         if self.is_one_cell:
             return frozenset()
         zones = {one.zone for one in self.members.values()}
         return frozenset(zones - {self.zone})
 
     def is_near(self, zone: ZoneId) -> bool:
-        """Return whether entries of a zone belong to the own cell."""
+        """Return whether the entries of a zone belong to the own cell."""
         return self.is_one_cell or zone == self.zone
 
     def near(self) -> list[str]:
-        """Return whom to tell at once: the own cell, also who is lost."""
+        """Return the addresses of the own cell, including lost entries."""
         return [
             one.address
             for one in self.members.values()
@@ -119,57 +121,58 @@
         ]
 
     def living_in(self, zone: ZoneId) -> list[str]:
-        """Return the living members of a zone, this entry left out."""
-        return self._addresses(zone, MemberState.LIVING)
-
-    def partner(self, zone: ZoneId, beat: int) -> str | None:
-        """Return whom of another cell to tell on a beat.
-
-        The members take turns, and those of one cell begin at different
-        ones. What goes wrong with a fixed partner: when it dies, its cell
-        hears nothing more until somebody has noticed. Members that were only
-        named have their turn as well, or two cells that know each other by
-        the word of a third would never meet; so have those of a cell that is
-        lost as a whole, or two halves of a fleet would stay apart.
+        """Return the live members of a zone, excluding this entry."""
+        return self._addresses(zone, MemberState.ALIVE)
+
+    def partner(self, zone: ZoneId, interval: int) -> str | None:
+        """Return the member of another cell to update in an interval.
+
+        The members are selected in rotation, and the entries of one cell
+        start at different positions. If a fixed member were selected, its
+        cell would receive nothing between its failure and the detection of
+        the failure. Unconfirmed members are selected as well. Otherwise two
+        cells that know each other only from a third cell would never connect.
+        If all members of a cell are lost, they are still selected. Otherwise
+        two halves of a partitioned fleet would never merge again.
         """
         addresses = self._addresses(
             zone,
-            MemberState.NAMED,
-            MemberState.LIVING,
+            MemberState.UNCONFIRMED,
+            MemberState.ALIVE,
         ) or self._addresses(zone, MemberState.LOST)
         if not addresses:
             return None
         own = sorted((*self.living_in(self.zone), self.address))
-        turn = beat + own.index(self.address)
-        return addresses[turn % len(addresses)]
+        position = interval + own.index(self.address)
+        return addresses[position % len(addresses)]
 
     def missing(self, seeds: Iterable[str]) -> list[str]:
-        """Return the seeds that are to be greeted: all that do not live.
+        """Return the seeds to contact: all that are not known to be alive.
 
-        An entry that knows nobody any more finds the others by them.
+        An entry that knows no other entry discovers the fleet through them.
         """
-        living = {one.address for one in self.members.values() if one.is_living}
-        return sorted(set(seeds) - living - {self.address})
+        alive = {one.address for one in self.members.values() if one.is_alive}
+        return sorted(set(seeds) - alive - {self.address})
 
     def learn(self, zone: ZoneId, addresses: Iterable[str], now: float) -> None:
-        """Take it from another entry that there are some in a zone."""
+        """Add entries of a zone that another entry reported."""
         for address in addresses:
             if address not in self.members and address != self.address:
                 self.members[address] = Member(
                     address=address,
                     zone=zone,
-                    heard_at=now,
+                    last_seen_at=now,
                 )
 
     def vouch(self, zone: ZoneId, addresses: Iterable[str], now: float) -> None:
-        """Take it from a member of another cell who lives there."""
-        named = tuple(addresses)
-        self.learn(zone, named, now)
-        for address in named:
+        """Confirm entries of another cell that one of its members reported."""
+        reported = tuple(addresses)
+        self.learn(zone, reported, now)
+        for address in reported:
             member = self.members.get(address)
             if member is not None and not self.is_near(member.zone):
-                member.heard_at = now
-                member.state = MemberState.LIVING
+                member.last_seen_at = now
+                member.state = MemberState.ALIVE
 
     def hear(
         self,
@@ -178,35 +181,39 @@
         name: PeerId,
         now: float,
     ) -> bool:
-        """Note that an entry was heard; return whether it was not living."""
+        """Mark an entry as alive; return whether it was not alive before."""
         self.learn(zone, (address,), now)
         member = self.members[address]
-        is_found = not member.is_living
+        is_found = not member.is_alive
         member.name = name
         member.zone = zone
-        member.heard_at = now
-        member.state = MemberState.LIVING
+        member.last_seen_at = now
+        member.state = MemberState.ALIVE
         return is_found
 
     def expire(self, now: float) -> list[Member]:
-        """Forget who was lost long ago; return who is lost now."""
+        """Remove long lost entries; return those that are newly lost."""
         lost = []
         for member in tuple(self.members.values()):
-            silence = now - member.heard_at
+            silence = now - member.last_seen_at
             if silence > FORGET_SECONDS:
                 self.members.pop(member.address)
-            elif not member.is_lost and silence > self._patience(member):
+            elif not member.is_lost and silence > self._silence_timeout(member):
                 member.state = MemberState.LOST
                 lost.append(member)
         return lost
 
     def _addresses(self, zone: ZoneId, *states: MemberState) -> list[str]:
-        """Return the members of a zone that are in one of some states."""
+        """Return the members of a zone that are in one of the given states."""
         return sorted(
             one.address
             for one in self.members.values()
             if one.zone == zone and one.state in states
         )
 
-    def _patience(self, member: Member) -> float:
-        return NEAR_SILENCE if self.is_near(member.zone) else FAR_SILENCE
+    def _silence_timeout(self, member: Member) -> float:
+        return (
+            NEAR_SILENCE
+            if self.is_near(member.zone)
+            else OTHER_CELL_TIMEOUT_SECONDS
+        )
--- a/packages/sycamore-core/src/sycamore_core/membership/tests/builders.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/tests/builders.py
@@ -1,13 +1,13 @@
-"""A fleet of entries that talk over links which a test may cut."""
+"""A simulated fleet of entries with links that a test may cut."""
 
 from ...ids import PeerId, ZoneId
 from .. import Membership
 
-BEAT_SECONDS = 1.0
+INTERVAL_SECONDS = 1.0
 
 
 class SimulatedEntry:
-    """One entry with its membership."""
+    """An entry with its view of the membership."""
 
     def __init__(self, address: str, zone: ZoneId, seeds: set[str]) -> None:
         self.address = address
@@ -17,110 +17,112 @@
 
 
 class SimulatedFleet:
-    """Entries in zones, which tell one another on each beat.
+    """Entries in several zones that exchange updates in each interval.
 
     Attributes
     ----------
-    cut
-        Pairs of addresses between which nothing passes, in that direction.
+    cut_links
+        Pairs of sender and receiver address whose link drops all messages.
     """
 
     def __init__(self, zones: int, each: int, seeds: int = 3) -> None:
         self.now: float = 0
-        self.beats = 0
-        self.places = {
+        self.intervals = 0
+        self.zone_of = {
             f'tcp://{zone}-{number}': ZoneId(f'z{zone}')
             for zone in range(zones)
             for number in range(each)
         }
-        self.seeds = set(sorted(self.places)[:seeds])
+        self.seeds = set(sorted(self.zone_of)[:seeds])
         self.entries: dict[str, SimulatedEntry] = {}
-        self.cut: set[tuple[str, str]] = set()
+        self.cut_links: set[tuple[str, str]] = set()
 
     def start(self, address: str) -> None:
-        """Start an entry, which knows its seeds and nothing else."""
+        """Start an entry that knows only its seeds."""
         self.entries[address] = SimulatedEntry(
             address,
-            self.places[address],
+            self.zone_of[address],
             self.seeds,
         )
 
     def start_all(self) -> None:
-        for address in self.places:
+        for address in self.zone_of:
             self.start(address)
 
-    def start_all_that_are_dead(self) -> None:
-        for address in self.places.keys() - self.entries.keys():
+    def start_all_dead(self) -> None:
+        for address in self.zone_of.keys() - self.entries.keys():
             self.start(address)
 
     def kill(self, address: str) -> None:
         self.entries.pop(address, None)
 
-    def beat(self, times: int = 1) -> None:
-        """Let time pass, and have all entries tell one another."""
+    def run_intervals(self, times: int = 1) -> None:
+        """Advance the clock; all entries send updates in each interval."""
         for _ in range(times):
-            self.now += BEAT_SECONDS
-            self.beats += 1
+            self.now += INTERVAL_SECONDS
+            self.intervals += 1
             for entry in tuple(self.entries.values()):
                 entry.membership.expire(self.now)
-                self._tell(entry)
+                self._send_updates(entry)
 
-    def reached(self, sender: str, receiver: str) -> SimulatedEntry | None:
-        """Return the receiver of a message, if it arrives."""
-        if (sender, receiver) in self.cut:
+    def receiver_of(self, sender: str, receiver: str) -> SimulatedEntry | None:
+        """Return the receiver of a message, if the message arrives."""
+        if (sender, receiver) in self.cut_links:
             return None
         return self.entries.get(receiver)
 
-    def _tell(self, entry: SimulatedEntry) -> None:
+    def _send_updates(self, entry: SimulatedEntry) -> None:
         known = entry.membership
         for seed in known.missing(entry.seeds):
-            self._greet(entry, seed)
+            self._introduce(entry, seed)
         for address in known.near():
-            self._tell_near(entry, address)
+            self._update_cell_peer(entry, address)
         for zone in known.other_zones:
-            partner = known.partner(zone, self.beats)
+            partner = known.partner(zone, self.intervals)
             if partner is not None:
-                self._tell_far(entry, partner)
+                self._update_other_cell(entry, partner)
 
-    def _greet(self, entry: SimulatedEntry, seed: str) -> None:
-        met = self._heard(entry, seed)
-        answered = met and self.reached(seed, entry.address)
-        if not met or not answered:
+    def _introduce(self, entry: SimulatedEntry, seed: str) -> None:
+        receiver = self._deliver(entry, seed)
+        answered = receiver and self.receiver_of(seed, entry.address)
+        if not receiver or not answered:
             return
-        self._note(entry, met)
-        zones = {one.zone for one in met.membership.members.values()}
-        for zone in zones | {met.zone}:
-            living = met.membership.living_in(zone)
-            entry.membership.learn(zone, living, self.now)
-
-    def _tell_near(self, entry: SimulatedEntry, address: str) -> None:
-        met = self._heard(entry, address)
-        if met is not None:
-            living = entry.membership.living_in(entry.zone)
-            met.membership.learn(entry.zone, living, self.now)
-
-    def _tell_far(self, entry: SimulatedEntry, partner: str) -> None:
-        met = self._heard(entry, partner)
-        if met is None:
+        self._mark_alive(entry, receiver)
+        zones = {one.zone for one in receiver.membership.members.values()}
+        for zone in zones | {receiver.zone}:
+            alive = receiver.membership.living_in(zone)
+            entry.membership.learn(zone, alive, self.now)
+
+    def _update_cell_peer(self, entry: SimulatedEntry, address: str) -> None:
+        receiver = self._deliver(entry, address)
+        if receiver is not None:
+            alive = entry.membership.living_in(entry.zone)
+            receiver.membership.learn(entry.zone, alive, self.now)
+
+    def _update_other_cell(self, entry: SimulatedEntry, partner: str) -> None:
+        receiver = self._deliver(entry, partner)
+        if receiver is None:
             return
         known = entry.membership
         own = (*known.living_in(entry.zone), entry.address)
-        met.membership.vouch(entry.zone, own, self.now)
+        receiver.membership.vouch(entry.zone, own, self.now)
         for zone in known.cells - {entry.zone}:
-            met.membership.learn(zone, known.living_in(zone)[:1], self.now)
+            receiver.membership.learn(zone, known.living_in(zone)[:1], self.now)
 
-    def _heard(
+    def _deliver(
         self, sender: SimulatedEntry, address: str
     ) -> SimulatedEntry | None:
-        met = self.reached(sender.address, address)
-        if met is not None:
-            self._note(met, sender)
-        return met
-
-    def _note(self, hearer: SimulatedEntry, heard: SimulatedEntry) -> None:
-        hearer.membership.hear(
-            heard.address,
-            heard.zone,
-            PeerId(heard.address),
+        receiver = self.receiver_of(sender.address, address)
+        if receiver is not None:
+            self._mark_alive(receiver, sender)
+        return receiver
+
+    def _mark_alive(
+        self, receiver: SimulatedEntry, sender: SimulatedEntry
+    ) -> None:
+        receiver.membership.hear(
+            sender.address,
+            sender.zone,
+            PeerId(sender.address),
             self.now,
         )
--- a/packages/sycamore-core/src/sycamore_core/membership/tests/test_membership.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is believed to live, in fleets of several cells."""
+"""Tests of the membership of fleets with several cells."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 def test_all_find_one_another_through_a_few_seeds() -> None:
     fleet = SimulatedFleet(zones=5, each=12)
     fleet.start_all()
-    fleet.beat(12)
+    fleet.run_intervals(12)
     for entry in fleet.entries.values():
         assert entry.membership.living == 60
         assert len(entry.membership.cells) == 5
@@ -22,11 +22,11 @@
 def test_messages_of_an_entry_do_not_grow_with_other_cells() -> None:
     """A fleet grows from three zones to eight.
 
-    If each entry told all others, it would send 95 messages a beat.
+    An entry that updated all others would send 95 messages per interval.
     """
     fleet = SimulatedFleet(zones=8, each=12)
     fleet.start_all()
-    fleet.beat(20)
+    fleet.run_intervals(20)
     for entry in fleet.entries.values():
         known = entry.membership
         assert len(known.near()) == 11
@@ -36,17 +36,17 @@
 def test_small_fleet_is_one_cell() -> None:
     fleet = SimulatedFleet(zones=3, each=8)
     fleet.start_all()
-    fleet.beat(5)
+    fleet.run_intervals(5)
     for entry in fleet.entries.values():
         assert not entry.membership.cells
         assert len(entry.membership.near()) == 23
 
 
-def test_silent_entry_is_lost_and_told_on() -> None:
-    """An entry is cut off for some seconds.
+def test_silent_entry_is_lost_but_still_updated() -> None:
+    """An entry is disconnected for some seconds.
 
-    If the others forgot it, it would come back to callers' requests without
-    a word from any of them.
+    If the others removed it, it would return to serving callers without
+    updates from any of them.
     """
     known = Membership('a', OWN)
     known.hear('b', OWN, PeerId('b'), now=0)
@@ -58,11 +58,11 @@
     assert known.hear('b', OWN, PeerId('b'), now=60)
 
 
-def test_word_of_third_parties_revives_nobody_of_the_own_cell() -> None:
-    """A link between two entries of a cell is cut, others still reach both.
+def test_third_party_reports_do_not_revive_entries_of_the_own_cell() -> None:
+    """A link between two entries of a cell is cut; others reach both.
 
-    An entry that cannot be heard itself says nothing of its work, so that it
-    must not count as one that does.
+    An entry whose messages do not arrive reports no load, so it must not
+    count as alive.
     """
     known = Membership('a', OWN)
     known.hear('b', OWN, PeerId('b'), now=0)
@@ -72,72 +72,73 @@
     assert known.living == 1
 
 
-def test_other_cell_is_believed_on_the_word_of_its_members(
+def test_entries_of_another_cell_are_confirmed_by_its_members(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(members, 'LARGEST_CELL', 1)
     known = Membership('a', OWN)
     known.vouch(OTHER, ['b', 'c'], now=0)
     assert known.living_in(OTHER) == ['b', 'c']
-    known.vouch(OTHER, ['c'], now=members.FAR_SILENCE)
-    lost = known.expire(now=members.FAR_SILENCE + 0.1)
+    known.vouch(OTHER, ['c'], now=members.OTHER_CELL_TIMEOUT_SECONDS)
+    lost = known.expire(now=members.OTHER_CELL_TIMEOUT_SECONDS + 0.1)
     assert [one.address for one in lost] == ['b']
 
 
-def test_every_member_of_another_cell_is_told_in_turn() -> None:
-    """One of the entries that a cell is told through is dead.
+def test_members_of_another_cell_are_updated_in_rotation() -> None:
+    """A member that receives the updates for its cell fails.
 
-    With a fixed one, its cell would hear nothing until that was noticed.
+    If it were the only receiver, its cell would receive nothing until the
+    failure was detected.
     """
     fleet = SimulatedFleet(zones=5, each=12)
     fleet.start_all()
-    fleet.beat(12)
+    fleet.run_intervals(12)
     known = next(iter(fleet.entries.values())).membership
-    told = {known.partner(OTHER, beat) for beat in range(12)}
-    assert len(told) == 12
+    partners = {known.partner(OTHER, interval) for interval in range(12)}
+    assert len(partners) == 12
 
 
-def test_two_halves_that_were_cut_apart_meet_again() -> None:
-    """Two zones lose the three others for longer than anybody is believed."""
+def test_two_halves_of_a_partitioned_fleet_merge_again() -> None:
+    """Two zones lose the other three for longer than any timeout."""
     fleet = SimulatedFleet(zones=5, each=12)
     fleet.start_all()
-    fleet.beat(12)
-    first = {one for one, zone in fleet.places.items() if zone in {OWN, OTHER}}
-    rest = fleet.places.keys() - first
+    fleet.run_intervals(12)
+    first = {one for one, zone in fleet.zone_of.items() if zone in {OWN, OTHER}}
+    rest = fleet.zone_of.keys() - first
     for one in first:
-        fleet.cut.update((one, other) for other in rest)
-        fleet.cut.update((other, one) for other in rest)
-    fleet.beat(20)
+        fleet.cut_links.update((one, other) for other in rest)
+        fleet.cut_links.update((other, one) for other in rest)
+    fleet.run_intervals(20)
     assert {fleet.entries[one].membership.living for one in first} == {24}
-    fleet.cut = set()
-    fleet.beat(30)
+    fleet.cut_links = set()
+    fleet.run_intervals(30)
     assert all(
         entry.membership.living == 60 for entry in fleet.entries.values()
     )
 
 
-def test_all_start_anew_at_once() -> None:
-    """Every entry loses its power, and all come back together."""
+def test_all_entries_restart_at_once() -> None:
+    """Every entry loses its power, and all restart together."""
     fleet = SimulatedFleet(zones=5, each=12)
     fleet.start_all()
-    fleet.beat(12)
+    fleet.run_intervals(12)
     fleet.start_all()
-    fleet.beat(8)
+    fleet.run_intervals(8)
     for entry in fleet.entries.values():
         assert entry.membership.living > members.LARGEST_CELL
         own = entry.membership.living_in(entry.zone)
         assert len(own) == 11
 
 
-def test_entries_that_were_only_named_count_for_what_all_share() -> None:
-    """All entries start anew, and a seed names those of other cells.
+def test_unconfirmed_entries_count_for_fleet_wide_limits() -> None:
+    """All entries restart, and a seed reports those of other cells.
 
-    Until they are heard of, an entry that counted itself alone would repeat
+    Until they are confirmed, an entry that counted only itself would retry
     as many requests as the whole fleet may.
     """
     known = Membership('a', OWN)
     known.learn(OTHER, [f'b{number}' for number in range(40)], now=0)
     assert known.living == 1
     assert known.expected == 41
-    known.expire(now=members.FAR_SILENCE + 0.1)
+    known.expire(now=members.OTHER_CELL_TIMEOUT_SECONDS + 0.1)
     assert known.expected == 1
--- a/packages/sycamore-core/src/sycamore_core/membership/tests/test_membership_machine.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/tests/test_membership_machine.py
@@ -1,4 +1,4 @@
-"""Entries start, die and are cut off one way or both, in any order."""
+"""Stateful test: entries start, stop and lose links in any order."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -11,18 +11,18 @@
 
 from ...ids import ZoneId
 from .. import members
-from .builders import BEAT_SECONDS, SimulatedFleet
+from .builders import INTERVAL_SECONDS, SimulatedFleet
 
 ZONES = 3
 EACH = 3
-#: Entries from which on the fleets of this test have several cells.
+#: Largest cell in this test, so that its fleets have several cells.
 SMALL_CELL = 4
-#: Beats in which all who live have found one another again.
+#: Intervals within which all live entries have discovered one another.
 CONVERGED = 40
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """What entries believe of one another, whatever happens to them."""
+    """Checks the membership of all entries after any sequence of faults."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -37,24 +37,24 @@
 
     @rule(times=st.integers(1, 8))
     def pass_time(self, times: int) -> None:
-        self.fleet.beat(times)
+        self.fleet.run_intervals(times)
 
     @rule(number=st.integers(0, ZONES * EACH - 1))
     def kill(self, number: int) -> None:
-        address = sorted(self.fleet.places)[number]
+        address = sorted(self.fleet.zone_of)[number]
         self.fleet.kill(address)
         self.dead_since.setdefault(address, self.fleet.now)
 
     @rule(number=st.integers(0, ZONES * EACH - 1))
     def start(self, number: int) -> None:
-        address = sorted(self.fleet.places)[number]
+        address = sorted(self.fleet.zone_of)[number]
         self.fleet.start(address)
         self.dead_since.pop(address, None)
 
     @rule(one=st.integers(0, ZONES * EACH - 1), other=st.integers(0, 8))
     def cut_one_way(self, one: int, other: int) -> None:
-        places = sorted(self.fleet.places)
-        self.fleet.cut.add((places[one], places[other]))
+        addresses = sorted(self.fleet.zone_of)
+        self.fleet.cut_links.add((addresses[one], addresses[other]))
 
     @rule()
     def lose_all_power(self) -> None:
@@ -63,31 +63,31 @@
 
     @rule()
     def heal(self) -> None:
-        self.fleet.cut.clear()
+        self.fleet.cut_links.clear()
 
     @rule()
-    def everybody_finds_everybody(self) -> None:
-        """All is well again for a while."""
-        self.fleet.cut.clear()
-        self.fleet.start_all_that_are_dead()
+    def all_entries_discover_one_another(self) -> None:
+        """All entries run without faults for a while."""
+        self.fleet.cut_links.clear()
+        self.fleet.start_all_dead()
         self.dead_since.clear()
-        self.fleet.beat(CONVERGED)
+        self.fleet.run_intervals(CONVERGED)
         for entry in self.fleet.entries.values():
             assert entry.membership.living == ZONES * EACH
 
     @invariant()
-    def nobody_believes_in_the_dead_for_long(self) -> None:
-        # One more beat until it is noticed, and word that was on its way.
-        longest = 2 * members.FAR_SILENCE + 2 * BEAT_SECONDS
+    def dead_entries_do_not_count_as_alive_for_long(self) -> None:
+        # One more interval until detection, and one for updates on the way.
+        longest = 2 * members.OTHER_CELL_TIMEOUT_SECONDS + 2 * INTERVAL_SECONDS
         for address, since in self.dead_since.items():
             if self.fleet.now - since <= longest:
                 continue
             for entry in self.fleet.entries.values():
-                zone = ZoneId(self.fleet.places[address])
+                zone = ZoneId(self.fleet.zone_of[address])
                 assert address not in entry.membership.living_in(zone)
 
     @invariant()
-    def nobody_counts_itself_twice(self) -> None:
+    def no_entry_counts_itself_twice(self) -> None:
         for address, entry in self.fleet.entries.items():
             assert address not in entry.membership.members
 
