--- a/packages/sycamore-core/src/sycamore_core/messages/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/__init__.py
@@ -1,6 +1,6 @@
-"""Messages between the processes, their codec and their signatures."""
+"""Messages between processes, with their codec and signatures."""
 
-from .codec import PROTOCOL_VERSION, Packet, PacketCodec, Parcel
+from .codec import PROTOCOL_VERSION, Packet, PacketCodec, VerifiedPacket
 from .compression import compress, restore
 from .entries import (
     CellMembers,
@@ -60,7 +60,7 @@
     'Offer',
     'Packet',
     'PacketCodec',
-    'Parcel',
+    'VerifiedPacket',
     'PeerKeys',
     'PlainCall',
     'PlainReply',
--- a/packages/sycamore-core/src/sycamore_core/messages/codec.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/codec.py
@@ -1,9 +1,9 @@
-"""Packets: several messages to one peer, signed together.
+"""Codec for packets, which carry several messages under one signature.
 
-On the wire a packet is the signature, the length of the key id, the key id,
-and the MessagePack form of `Packet`. Messages inside are decoded one by one:
-a message of a newer version that this one does not know is counted and left
-out, and the rest of the packet is used.
+On the wire a packet consists of the signature, the length of the key id, the
+key id and the MessagePack form of `Packet`. The messages of a packet are
+decoded one by one: a message that only a newer version knows is counted and
+skipped, and the rest of the packet is used.
 """
 
 from collections.abc import Sequence
@@ -20,13 +20,13 @@
 
 
 class Packet(msgspec.Struct, frozen=True, array_like=True):
-    """What one process sends to another at a time.
+    """Messages that one process sends to another together.
 
     Attributes
     ----------
     sent_at
-        The sender's monotonic clock, in seconds; only differences between
-        packets of one incarnation mean anything.
+        Time on the sender's monotonic clock, in seconds. Only differences
+        between packets of one incarnation are meaningful.
     reply_to
         Address at which the sender listens.
     """
@@ -39,13 +39,13 @@
     messages: tuple[msgspec.Raw, ...]
 
 
-class Parcel(msgspec.Struct, frozen=True):
-    """A packet that was received and checked.
+class VerifiedPacket(msgspec.Struct, frozen=True):
+    """A received packet whose signature has been verified.
 
     Attributes
     ----------
     unknown
-        Number of messages left out because they could not be decoded.
+        Number of messages skipped because they could not be decoded.
     """
 
     sender: PeerId
@@ -57,14 +57,14 @@
 
 
 class PacketCodec:
-    """Writes and reads signed packets.
+    """Encodes and decodes signed packets.
 
     Parameters
     ----------
     keys
-        Keys that sign and verify.
+        Keys for signing and verification.
     sender, incarnation, reply_to
-        What the packets say of this process.
+        Identity and address of this process, included in each packet.
     """
 
     def __init__(
@@ -98,20 +98,20 @@
         header = self.keys.sign(body) + bytes((len(key_id),))
         return b''.join((header, key_id, body))
 
-    def decode(self, received: bytes) -> Parcel:
-        """Check and read one packet.
+    def decode(self, received: bytes) -> VerifiedPacket:
+        """Verify and decode one packet.
 
         Raises
         ------
         AuthenticationError
-            If no known key has signed it.
+            If the packet is not signed by a known key.
         CodecError
-            If it is not a packet.
+            If the bytes are not a valid packet.
         """
-        packet = self._read(self._checked_body(received))
+        packet = self._decode_body(self._verified_body(received))
         decoded = [_decode_or_none(raw) for raw in packet.messages]
-        messages = tuple(entry for entry in decoded if entry is not None)
-        return Parcel(
+        messages = tuple(one for one in decoded if one is not None)
+        return VerifiedPacket(
             sender=packet.sender,
             incarnation=packet.incarnation,
             reply_to=packet.reply_to,
@@ -120,9 +120,9 @@
             unknown=len(packet.messages) - len(messages),
         )
 
-    def _checked_body(self, received: bytes) -> memoryview:
+    def _verified_body(self, received: bytes) -> memoryview:
         if len(received) < _HEADER_BYTES:
-            raise CodecError('shorter than the header')
+            raise CodecError('packet is shorter than its header')
         view = memoryview(received)
         body_start = _HEADER_BYTES + view[SIGNATURE_BYTES]
         try:
@@ -133,7 +133,7 @@
         self.keys.verify(key_id, body, bytes(view[:SIGNATURE_BYTES]))
         return body
 
-    def _read(self, body: memoryview) -> Packet:
+    def _decode_body(self, body: memoryview) -> Packet:
         try:
             return self._decoder.decode(body)
         except msgspec.DecodeError as error:
--- a/packages/sycamore-core/src/sycamore_core/messages/compression.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/compression.py
@@ -1,11 +1,11 @@
-"""What entries tell one another, in compressed form.
+"""Compression of updates between entries.
 
-Load pattern: a prompt of half a million tokens is read by seventeen engines,
-each of which an update names with much the same figures, and 25 peers are told
-of it over a link of 10 Mbit/s that carries prompts and answers as well.
+Load pattern: seventeen engines read a prompt of half a million tokens. The
+update lists each of them with similar figures, and is sent to 25 peers over a
+link of 10 Mbit/s that also carries prompts and answers.
 
-Without it: such an update takes 30 ms of the link to reach all peers. Whoever
-is told last places on the same engines meanwhile.
+Without compression, such an update occupies the link for 30 ms until all peers
+have received it. The last peers place requests on the same engines meanwhile.
 """
 
 import zlib
@@ -15,20 +15,20 @@
 from .inflate import inflate
 from .union import decode_message, encode_message
 
-#: Bytes of a message from which on it is compressed: one that names two
-#: engines or less hardly shrinks.
-_LEAST_BYTES = 300
-#: Compression that costs least: the gain is in figures that repeat.
-_LEVEL = 1
-#: Bytes of a message in its plain form, at most: all work of an entry at 770
-#: endpoints takes a tenth of it.
-MOST_BYTES = 1_048_576
+#: Minimum size of a message that is compressed, in bytes. A message with two
+#: engines or fewer hardly shrinks.
+_MIN_COMPRESSED_BYTES = 300
+#: Fastest compression; it suffices because the gain is in repeated figures.
+_ZLIB_LEVEL = 1
+#: Maximum size of an uncompressed message, in bytes: ten times the size of all
+#: load of an entry at 770 endpoints.
+MAX_MESSAGE_BYTES = 1_048_576
 
 
 def compress(
     message: LoadUpdate | CellSummary,
 ) -> LoadUpdate | CellSummary | CompressedMessage:
-    """Return the form in which a message is sent to many.
+    """Return a message in the form that is sent to many receivers.
 
     Examples
     --------
@@ -37,9 +37,9 @@
     True
     """
     encoded = encode_message(message)
-    if len(encoded) < _LEAST_BYTES:
+    if len(encoded) < _MIN_COMPRESSED_BYTES:
         return message
-    return CompressedMessage(zlib.compress(encoded, _LEVEL))
+    return CompressedMessage(zlib.compress(encoded, _ZLIB_LEVEL))
 
 
 def restore(compressed: CompressedMessage) -> LoadUpdate | CellSummary:
@@ -48,9 +48,9 @@
     Raises
     ------
     CodecError
-        If it cannot be read, is too large, or is of another kind.
+        If the message cannot be read, is too large, or has another type.
     """
-    message = decode_message(inflate(compressed.payload, MOST_BYTES))
+    message = decode_message(inflate(compressed.payload, MAX_MESSAGE_BYTES))
     if isinstance(message, LoadUpdate | CellSummary):
         return message
-    raise CodecError('compressed message: of another kind')
+    raise CodecError('compressed message has an unexpected type')
--- a/packages/sycamore-core/src/sycamore_core/messages/entries.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/entries.py
@@ -13,37 +13,38 @@
 
 
 class CellMembers(msgspec.Struct, frozen=True, array_like=True):
-    """Entries of one zone, by their addresses."""
+    """Addresses of entries of one zone."""
 
     zone: ZoneId
     addresses: tuple[str, ...]
 
 
 class LoadUpdate(BaseMessage, frozen=True):
-    """Sign of life of an entry, with what it has at endpoints.
+    """Heartbeat of an entry with its load at the endpoints.
 
     Attributes
     ----------
     is_whole
-        Whether `shares` names all that the entry has; otherwise only what
-        has changed since the update before.
+        Whether `shares` is the full load of the entry; otherwise it holds
+        only the changes since the previous update.
     peers
-        Addresses of the entries that it hears, for a newcomer of a version
-        that knows no cells.
+        Addresses of the entries known to the sender, for a new member whose
+        version does not support cells.
     leaving
-        Endpoints that it has lately seen to leave.
+        Endpoints that the sender recently saw leaving.
     turns_per_s
-        Short turns that arrive at it.
+        Arrival rate of short requests at the sender, per second.
     members
-        Entries that it hears, by which a newcomer finds them all.
+        Entries known to the sender, through which a new member discovers
+        the fleet.
     is_greeting
-        Whether the receiver is asked to say whom it knows.
+        Whether the receiver is asked to reply with the members it knows.
     failing
-        Endpoints at which attempts of this entry have just failed.
+        Endpoints at which attempts of the sender have just failed.
     crashes
-        Requests under which endpoints crashed.
+        Crashes of endpoints, with the requests that they processed.
     limits
-        Endpoints that name a limit, and what it has sent to them.
+        Rate limits of endpoints, with the requests sent to them.
     """
 
     entry: EntryId
@@ -62,27 +63,27 @@
 
 
 class CellSummary(BaseMessage, frozen=True):
-    """What an entry knows of its cell, for an entry of another cell.
+    """State of a cell, sent by one of its entries to another cell.
 
     Attributes
     ----------
     shares
-        What all entries but the receiver have at the engines of the cell;
-        engines without work are left out.
+        Load of all entries except the receiver at the engines of the cell;
+        idle engines are omitted.
     members
-        Living entries of the cell.
+        Live entries of the cell.
     contacts
-        One living entry of each other cell, so that cells which have lost
-        sight of one another meet again.
+        One live entry of each other cell, so that cells that lost contact
+        with one another reconnect.
     leaving
-        Endpoints that were lately seen to leave.
+        Endpoints that were recently seen leaving.
     turns_per_s
-        Short turns that arrive in the cell.
+        Arrival rate of short requests in the cell, per second.
     crashes
-        Requests under which endpoints crashed.
+        Crashes of endpoints, with the requests that they processed.
     limits
-        Endpoints of the cell that name a limit, and what all entries but the
-        receiver have sent to them.
+        Rate limits of the endpoints of the cell, with the requests sent to
+        them by all entries except the receiver.
     """
 
     entry: EntryId
@@ -98,18 +99,18 @@
 
 
 class TrialWanted(BaseMessage, frozen=True):
-    """Asks whether a request whose hold is over may be tried."""
+    """Asks for a trial of a request whose quarantine is over."""
 
     content: ContentDigest
 
 
 class TrialAnswer(BaseMessage, frozen=True):
-    """Says whether a request whose hold is over may be tried.
+    """Grants or denies the trial of a request whose quarantine is over.
 
     Attributes
     ----------
     number
-        How often it has been tried with this attempt; 0 if it may not be.
+        Number of trials including the granted one; 0 if the trial is denied.
     """
 
     content: ContentDigest
@@ -122,7 +123,7 @@
     Attributes
     ----------
     payload
-        Its MessagePack form, as a zlib stream.
+        MessagePack form of the message, as a zlib stream.
     """
 
     payload: bytes
--- a/packages/sycamore-core/src/sycamore_core/messages/frames.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/frames.py
@@ -1,4 +1,4 @@
-"""Messages that carry an answer and its acknowledgement."""
+"""Messages with the frames of an answer and their acknowledgement."""
 
 import msgspec
 
@@ -9,14 +9,14 @@
 
 
 class Close(msgspec.Struct, frozen=True, array_like=True):
-    """End of an answer, by which a cut one can be told from a whole one.
+    """End of an answer, which distinguishes it from a truncated answer.
 
     Attributes
     ----------
     frames
         Number of frames before the closing one.
     checksum
-        CRC-32 of the payloads of these frames, one after the other.
+        CRC-32 of the concatenated payloads of these frames.
     output_tokens
         Number of tokens generated.
     """
@@ -29,14 +29,14 @@
 
 
 class Frame(BaseMessage, frozen=True):
-    """A numbered piece of an answer.
+    """A numbered part of an answer.
 
     Attributes
     ----------
     close
         Set on the last frame only, which has no payload.
     plain_reply
-        Set on the first frame of a plain service's answer.
+        Set only on the first frame of the answer of a plain service.
     """
 
     request_id: RequestId
@@ -49,11 +49,11 @@
 
 
 class Ack(BaseMessage, frozen=True):
-    """The entry has handed on all frames up to `sequence`.
+    """Acknowledges that the entry has forwarded all frames up to `sequence`.
 
-    The endpoint process sends at most a window of frames beyond it, which
-    is how a slow caller slows the engine's stream, and forgets the answer
-    once the closing frame is acknowledged.
+    The endpoint process sends at most a window of frames beyond `sequence`,
+    so that a slow caller slows the stream of the engine. It discards the
+    answer once the closing frame is acknowledged.
     """
 
     request_id: RequestId
--- a/packages/sycamore-core/src/sycamore_core/messages/groups.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/groups.py
@@ -1,4 +1,4 @@
-"""Messages between endpoint processes that serve one prompt as a group."""
+"""Messages between endpoint processes that serve a prompt as a group."""
 
 from ..ids import GroupId, RequestId
 from .base import BaseMessage
@@ -7,13 +7,13 @@
 class GroupReserve(BaseMessage, frozen=True):
     """Asks a member to lease memory for one span of a prompt.
 
-    The lease expires by itself after `lease_seconds` unless it is renewed,
-    so that the death of the leader leaks nothing.
+    The lease expires after `lease_seconds` unless it is renewed, so that no
+    memory leaks if the leader fails.
 
     Attributes
     ----------
     number
-        Number of the request, which the answer returns.
+        Sequence number of this message, which the answer repeats.
     """
 
     group: GroupId
@@ -25,13 +25,13 @@
 
 
 class GroupAnswer(BaseMessage, frozen=True):
-    """Whether the member holds the lease that was asked for or renewed.
+    """Whether the member holds the requested or renewed lease.
 
     Attributes
     ----------
     number
-        Number of the request that is answered. The leader counts the lease
-        from when it sent that one, however late the answer comes.
+        Sequence number of the message that is answered. The lease period
+        starts when the leader sent that message, even if the answer is late.
     """
 
     group: GroupId
@@ -42,7 +42,7 @@
 
 
 class GroupRenew(BaseMessage, frozen=True):
-    """Keeps the leases of a group for another `lease_seconds`."""
+    """Extends the leases of a group by `lease_seconds`."""
 
     group: GroupId
     lease_seconds: float
@@ -50,7 +50,7 @@
 
 
 class GroupRelease(BaseMessage, frozen=True):
-    """Frees the memory that the group holds at this member."""
+    """Releases the memory that the group leases at this member."""
 
     group: GroupId
 
@@ -65,10 +65,10 @@
     first_token
         Position of the first token of the span in the prompt.
     imports
-        Handle of the KV cache of the spans before, exported by the member
-        before; empty for the first span.
+        Handle of the KV cache of the previous spans, exported by the previous
+        member; empty for the first span.
     source
-        Address of the engine that exports it.
+        Address of the engine that exports this cache.
     """
 
     group: GroupId
--- a/packages/sycamore-core/src/sycamore_core/messages/heartbeats.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats, load reports and the spreading of settings among peers."""
+"""Heartbeats, load reports and the exchange of settings between peers."""
 
 from ..ids import EndpointId, EntryId, Incarnation, ServiceId, ZoneId
 from ..states import EndpointPhase
@@ -6,7 +6,7 @@
 
 
 class Heartbeat(BaseMessage, frozen=True):
-    """Sign of life of an entry, with the settings version it serves on.
+    """Heartbeat of an entry, with the settings version that it uses.
 
     Attributes
     ----------
@@ -23,25 +23,26 @@
 
 
 class LoadReport(BaseMessage, frozen=True):
-    """Sign of life of an endpoint process, with its load.
+    """Heartbeat of an endpoint process, with its load.
 
     Attributes
     ----------
     free_tokens, capacity_tokens
-        Memory of the engine not leased, and all of it, in tokens.
+        Unleased memory and total memory of the engine, in tokens.
     running, waiting
-        Number of sequences in the engine's batch, and admitted but not yet
-        in it.
+        Number of sequences in the batch of the engine, and number of
+        admitted sequences that are not yet in the batch.
     backlog_tokens
-        Prompt tokens admitted whose prefill is not done.
+        Admitted prompt tokens whose prefill is not complete.
     long_tokens
-        Part of the leased tokens held by prompts of the band `HUGE`.
+        Leased tokens of prompts in the band `HUGE`.
     service_rate
-        Prefill rate seen lately, in tokens a second; 0 if not known.
+        Recent prefill rate, in tokens per second; 0 if not known.
     step_seconds
-        Time between two tokens of a stream seen lately, in seconds.
+        Recent time between two tokens of a stream, in seconds.
     cached_blocks
-        Blocks that the engine said it caches, newest first, a few only.
+        The most recent blocks that the engine reports as cached, newest
+        first.
     settings_digest, settings_age
         As in `sycamore_core.platform.SettingsClaim`.
     """
@@ -66,13 +67,13 @@
 
 
 class SettingsWanted(BaseMessage, frozen=True):
-    """Asks a peer for its settings if they are newer than `above`."""
+    """Requests the settings of a peer if they are newer than `above`."""
 
     above: int
 
 
 class SettingsBody(BaseMessage, frozen=True):
-    """A whole published settings tree; version 0 for none.
+    """A complete published settings tree; version 0 if there is none.
 
     Attributes
     ----------
--- a/packages/sycamore-core/src/sycamore_core/messages/inflate.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/inflate.py
@@ -1,29 +1,29 @@
-"""Decompression of what a peer has sent."""
+"""Bounded decompression of data from a peer."""
 
 import zlib
 
 from ..errors import CodecError
 
 
-def inflate(compressed: bytes, most_bytes: int) -> bytes:
-    """Return the bytes of a zlib stream.
+def inflate(compressed: bytes, max_bytes: int) -> bytes:
+    """Return the decompressed bytes of a zlib stream.
 
     Parameters
     ----------
     most_bytes
-        Their number at most. Without a bound, a small message fills the
-        memory of its reader.
+        Maximum number of decompressed bytes. Without a bound, a small
+        message could exhaust the memory of the receiver.
 
     Raises
     ------
     CodecError
-        If it cannot be read, is cut off, or holds more.
+        If the stream is invalid, truncated or too large.
     """
     reader = zlib.decompressobj()
     try:
-        found = reader.decompress(compressed, most_bytes)
+        inflated = reader.decompress(compressed, max_bytes)
     except zlib.error as error:
-        raise CodecError(f'compressed: {error}') from error
+        raise CodecError(f'invalid compressed data: {error}') from error
     if not reader.eof:
-        raise CodecError('compressed: cut off or too large')
-    return found
+        raise CodecError('compressed data is truncated or too large')
+    return inflated
--- a/packages/sycamore-core/src/sycamore_core/messages/keys.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/keys.py
@@ -1,4 +1,4 @@
-"""Keys that sign what passes between the processes, and their rotation."""
+"""Keys that sign the packets between processes, and their rotation."""
 
 import hashlib
 import hmac
@@ -10,24 +10,24 @@
 from ..errors import AuthenticationError, SettingsError
 from ..ids import KeyId
 
-#: Length of a signature; 128 bits withstand guessing at any rate of messages.
+#: Length of a signature; 128 bits resist guessing at any message rate.
 SIGNATURE_BYTES = 16
-_MINIMAL_KEY_BYTES = 16
-_ENVIRONMENT = 'env:'
+_MIN_KEY_BYTES = 16
+_ENVIRONMENT_PREFIX = 'env:'
 
 
 class PeerKeys:
-    """The keys in force: one that signs, all of which verify.
+    """The active keys: one signs, all verify.
 
-    During a rotation the new key is first added everywhere, then made the
-    signing one, then the old one is removed.
+    To rotate keys, add the new key to all processes, then make it the signing
+    key, then remove the old key.
 
     Parameters
     ----------
     keys
-        Secret by key id.
+        Secrets by key id.
     signing
-        Id of the key that signs.
+        Id of the signing key.
 
     Examples
     --------
@@ -41,25 +41,25 @@
                 f'signing key {signing!r} is not among the keys'
             )
         for key_id, secret in keys.items():
-            if len(secret) < _MINIMAL_KEY_BYTES:
+            if len(secret) < _MIN_KEY_BYTES:
                 raise SettingsError(f'key {key_id!r} is shorter than 16 bytes')
         self._keys = dict(keys)
         self.signing = signing
 
     @classmethod
     def from_files(cls, files: Mapping[KeyId, str], signing: KeyId) -> Self:
-        """Read each secret from where the settings say that it is.
+        """Read each secret from the location given in the settings.
 
         Parameters
         ----------
         files
-            Path of a file, or ``env:NAME`` for an environment variable, by
-            key id.
+            Locations by key id: the path of a file, or ``env:NAME`` for an
+            environment variable.
 
         Raises
         ------
         SettingsError
-            If a secret is not there.
+            If a secret cannot be read.
         """
         secrets = {
             key_id: _read_secret(key_id, place)
@@ -67,28 +67,28 @@
         }
         return cls(secrets, signing)
 
-    def sign(self, text: bytes) -> bytes:
-        """Return the signature of `text` by the signing key."""
-        return _signature(self._keys[self.signing], text)
+    def sign(self, message: bytes) -> bytes:
+        """Return the signature of `message` by the signing key."""
+        return _signature(self._keys[self.signing], message)
 
-    def verify(self, key_id: KeyId, text: bytes, signature: bytes) -> None:
+    def verify(self, key_id: KeyId, message: bytes, signature: bytes) -> None:
         """Check a signature.
 
         Raises
         ------
         AuthenticationError
-            If the key is not known or the signature is not the key's.
+            If the key is unknown or the signature is not valid for it.
         """
         secret = self._keys.get(key_id)
         if secret is None:
             raise AuthenticationError(f'unknown key {key_id!r}')
-        if not hmac.compare_digest(_signature(secret, text), signature):
-            raise AuthenticationError('wrong signature')
+        if not hmac.compare_digest(_signature(secret, message), signature):
+            raise AuthenticationError('invalid signature')
 
 
-def _read_secret(key_id: KeyId, place: str) -> bytes:
-    if place.startswith(_ENVIRONMENT):
-        name = place.removeprefix(_ENVIRONMENT)
+def _read_secret(key_id: KeyId, location: str) -> bytes:
+    if location.startswith(_ENVIRONMENT_PREFIX):
+        name = location.removeprefix(_ENVIRONMENT_PREFIX)
         secret = os.environ.get(name)
         if secret is None:
             raise SettingsError(
@@ -96,14 +96,14 @@
             )
         return secret.strip().encode()
     try:
-        return pathlib.Path(place).read_bytes().strip()
+        return pathlib.Path(location).read_bytes().strip()
     except OSError as error:
-        # The place is left out of the message: an operator may have put the
-        # key itself there.
+        # The message omits the location, because an operator may have entered
+        # the key itself instead of a path.
         reason = error.strerror
         raise SettingsError(f'peer key {key_id!r}: {reason}') from None
 
 
-def _signature(secret: bytes, text: bytes) -> bytes:
-    hashed = hashlib.blake2b(text, key=secret, digest_size=SIGNATURE_BYTES)
+def _signature(secret: bytes, message: bytes) -> bytes:
+    hashed = hashlib.blake2b(message, key=secret, digest_size=SIGNATURE_BYTES)
     return hashed.digest()
--- a/packages/sycamore-core/src/sycamore_core/messages/requests.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/requests.py
@@ -17,7 +17,7 @@
 
 
 class PlainCall(msgspec.Struct, frozen=True, array_like=True):
-    """A call to a plain service, as the caller made it."""
+    """A call to a plain service, as received from the caller."""
 
     method: str
     path: str
@@ -25,7 +25,7 @@
 
 
 class PlainReply(msgspec.Struct, frozen=True, array_like=True):
-    """Status of a plain service's answer; its body follows in frames."""
+    """Status of the answer of a plain service; the body follows in frames."""
 
     status: int
     content_type: str = 'application/json'
@@ -37,30 +37,32 @@
     Attributes
     ----------
     incarnation
-        Start of the endpoint process that is meant; another one declines, so
-        that an offer that arrives late or twice cannot run after a restart.
+        Incarnation of the endpoint process that is addressed. Any other
+        incarnation declines, so that an offer that arrives late or twice
+        cannot run after a restart.
     budget
-        Time that is left to the request when the offer is sent, in seconds.
-        Clocks of two instances may differ, hence no point in time.
+        Time left for the request when the offer is sent, in seconds. It is a
+        duration because the clocks of two instances may differ.
     prompt_tokens, max_output_tokens
-        Size of the request, in tokens.
+        Length of the prompt and maximum length of the answer, in tokens.
     idempotent
         Whether the request may run more than once.
     bound
-        Whether `request_id` was minted by this incarnation for a reservation.
+        Whether this incarnation created `request_id` for a reservation.
     idempotency_key
-        The caller's own key of a request in one step, empty if none.
+        Idempotency key that the caller sent with a request without a
+        reservation; empty if there is none.
     priority
-        Lower is served first by the engine.
+        Priority at the engine; lower values are served first.
     prefix_blocks
-        Hashes of the blocks of the prompt, the first block first.
+        Hashes of the blocks of the prompt, in order.
     payload
         The prompt, or the body of a plain call.
     settings_version
-        The version on which the entry decided.
+        Settings version on which the entry based its decision.
     members
-        Addresses of the other endpoint processes, in span order, when the
-        prompt is served by a group that this endpoint leads.
+        Addresses of the other endpoint processes, in span order, if a group
+        led by this endpoint serves the prompt.
     """
 
     request_id: RequestId
@@ -96,10 +98,10 @@
     Attributes
     ----------
     execution
-        What the endpoint process knows of the request: `NOT_RUN` if neither
-        this attempt nor an earlier one ran here.
+        Execution of the request at the endpoint process: `NOT_RUN` if neither
+        this attempt nor an earlier attempt ran there.
     retry_after
-        When to come back, in seconds.
+        Time after which to retry, in seconds.
     """
 
     request_id: RequestId
@@ -110,7 +112,7 @@
 
 
 class Withdraw(BaseMessage, frozen=True):
-    """Bars a request whose offer was not answered from ever starting."""
+    """Prevents the start of a request whose offer was not answered."""
 
     request_id: RequestId
     attempt: Attempt
@@ -122,7 +124,7 @@
     Attributes
     ----------
     endpoint
-        Endpoint whose process reports; the receiver fills it in.
+        Endpoint of the reporting process; set by the receiver.
     """
 
     request_id: RequestId
@@ -133,17 +135,17 @@
 
 
 class Cancel(BaseMessage, frozen=True):
-    """Gives up a run; its memory lease is freed."""
+    """Cancels a run and releases its memory lease."""
 
     request_id: RequestId
     reason: CancelReason
 
 
 class Attach(BaseMessage, frozen=True):
-    """Asks for the frames of a run again, from `after` + 1 on.
+    """Requests the frames of a run again, starting at `after` + 1.
 
-    Sent for a gap, and by an entry through which a caller comes back. The
-    entry that attached last receives the frames.
+    Sent after a gap in the frames, and by an entry through which a caller
+    resumes a stream. The entry that attached last receives the frames.
     """
 
     request_id: RequestId
@@ -151,7 +153,7 @@
 
 
 class Reserve(BaseMessage, frozen=True):
-    """Asks an endpoint process to mint an id that is bound to it."""
+    """Asks an endpoint process to create a request id bound to it."""
 
     nonce: str
     workspace: WorkspaceId
@@ -159,7 +161,7 @@
 
 
 class Reserved(BaseMessage, frozen=True):
-    """The id minted for a reservation; nothing has run."""
+    """The request id created for a reservation; nothing has run."""
 
     nonce: str
     request_id: RequestId
--- a/packages/sycamore-core/src/sycamore_core/messages/tests/test_codec.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/tests/test_codec.py
@@ -61,7 +61,7 @@
 
 
 def test_rotation_accepts_both_keys() -> None:
-    """Operators add a new key everywhere before they sign with it."""
+    """Operators add a new key to all processes before it signs."""
     receiver = make_codec(PeerKeys(SECRETS, OLD))
     sender = make_codec(PeerKeys(SECRETS, NEW))
     assert receiver.decode(sender.encode((SettingsWanted(1),), 0)).messages
@@ -90,10 +90,10 @@
         codec.decode(received)
 
 
-def test_unknown_message_leaves_the_others() -> None:
-    """During a roll-out a newer process sends a message unknown to this one.
+def test_unknown_message_does_not_affect_the_others() -> None:
+    """During a roll-out a newer process sends an unknown message.
 
-    What was sent beside it in the same packet must still be handled.
+    The other messages of the same packet must still be handled.
     """
     codec = make_codec(PeerKeys(SECRETS, OLD))
     packet = pack_raw(codec, FromTheFuture(1), SettingsWanted(5))
--- a/packages/sycamore-core/src/sycamore_core/messages/tests/test_compression.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/tests/test_compression.py
@@ -1,4 +1,4 @@
-"""What entries tell one another, compressed for links that are narrow."""
+"""Tests of the compression of updates for links of low bandwidth."""
 
 import zlib
 
@@ -8,20 +8,20 @@
 from ...ids import EndpointId, EntryId, ZoneId
 from ...routing import EngineLoad, EngineShare, Unread
 from .. import CompressedMessage, LoadUpdate, SettingsWanted, compress, restore
-from ..compression import MOST_BYTES
+from ..compression import MAX_MESSAGE_BYTES
 from ..union import encode_message
 
-#: Time of a link of 10 Mbit/s that telling 25 peers may take, in ms: less than
-#: a twentieth of the promise of a short turn.
-MOST_LINK_MS = 15
-#: Names without a pattern, as platforms give them.
+#: Maximum time for which an update to 25 peers may occupy a link of 10 Mbit/s,
+#: in ms: less than a twentieth of the objective of a short request.
+MAX_LINK_MS = 15
+#: Names without a common pattern, like those that platforms assign.
 NAMES = tuple(f'i-{zlib.crc32(bytes(one))}' for one in range(17))
 PEERS = 25
 BITS_PER_MS = 10_000
 
 
 def split_over(engines: int) -> LoadUpdate:
-    """Return what an entry tells of a prompt that many engines read."""
+    """Return the update about a prompt that several engines read."""
     part = Unread('9f87ce33', 87.3, 2147.234, 1.734, 3984.13, is_ahead=True)
     load = EngineLoad(unread=(part,))
     return LoadUpdate(
@@ -35,19 +35,19 @@
     )
 
 
-def test_peers_hear_of_a_split_prompt_within_moments() -> None:
-    """A prompt is split over seventeen engines by an entry on a narrow link.
+def test_update_about_a_split_prompt_occupies_the_link_briefly() -> None:
+    """An entry on a link of low bandwidth splits a prompt over 17 engines.
 
-    In its plain form the news takes as long as thirty short turns to leave
-    the instance, and others put work on the same engines meanwhile.
+    Uncompressed, the update takes as long to send as thirty short requests,
+    and other entries place requests on the same engines meanwhile.
     """
     update = split_over(17)
-    told = len(encode_message(compress(update))) * PEERS
-    assert told * 8 / BITS_PER_MS < MOST_LINK_MS
-    assert len(encode_message(update)) * PEERS * 8 / BITS_PER_MS > MOST_LINK_MS
+    sent_bytes = len(encode_message(compress(update))) * PEERS
+    assert sent_bytes * 8 / BITS_PER_MS < MAX_LINK_MS
+    assert len(encode_message(update)) * PEERS * 8 / BITS_PER_MS > MAX_LINK_MS
 
 
-def test_restored_is_what_was_compressed() -> None:
+def test_compression_round_trip() -> None:
     update = split_over(17)
     compressed = compress(update)
     assert isinstance(compressed, CompressedMessage)
@@ -61,14 +61,14 @@
         b'no stream',
         zlib.compress(b'no message'),
         zlib.compress(encode_message(SettingsWanted(above=3))),
-        zlib.compress(bytes(MOST_BYTES + 1)),
+        zlib.compress(bytes(MAX_MESSAGE_BYTES + 1)),
         zlib.compress(encode_message(split_over(2)))[:-4],
     ],
 )
-def test_spoiled_stream_is_an_error_of_the_codec(payload: bytes) -> None:
-    """A peer sends something else, or so much that memory runs out.
+def test_invalid_stream_raises_codec_error(payload: bytes) -> None:
+    """A peer sends invalid data, or a stream that would exhaust memory.
 
-    It costs its reader the message, never the process.
+    The receiver must drop the message and keep running.
     """
     with pytest.raises(CodecError):
         restore(CompressedMessage(payload))
--- a/packages/sycamore-core/src/sycamore_core/messages/tests/test_keys.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Tests of where the peer keys come from."""
+"""Tests of the locations of the peer keys."""
 
 from pathlib import Path
 
@@ -12,9 +12,9 @@
 SECRET = 'a secret of a test'
 
 
-def reason_of(place: str) -> str:
+def error_message(location: str) -> str:
     try:
-        PeerKeys.from_files({KEY: place}, KEY)
+        PeerKeys.from_files({KEY: location}, KEY)
     except SettingsError as error:
         return str(error)
     return ''
@@ -32,16 +32,16 @@
     assert by_file.sign(b'text') == by_variable.sign(b'text')
 
 
-@pytest.mark.parametrize('place', ['env:SYCAMORE_NOT_SET', '/nowhere/key'])
-def test_missing_key_is_a_settings_error(place: str) -> None:
-    assert repr(KEY) in reason_of(place)
+@pytest.mark.parametrize('location', ['env:SYCAMORE_NOT_SET', '/nowhere/key'])
+def test_missing_key_is_a_settings_error(location: str) -> None:
+    assert repr(KEY) in error_message(location)
 
 
-def test_key_in_place_of_its_file_is_not_shown() -> None:
-    """An operator puts the key itself where its file belongs.
+def test_key_entered_as_its_path_is_not_shown() -> None:
+    """An operator enters the key itself instead of the path of its file.
 
-    The error goes to the log, where the key must not stand.
+    The error is logged and must not reveal the key.
     """
-    reason = reason_of(SECRET)
-    assert 'No such file' in reason
-    assert SECRET not in reason
+    message = error_message(SECRET)
+    assert 'No such file' in message
+    assert SECRET not in message
--- a/packages/sycamore-core/src/sycamore_core/messages/union.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/union.py
@@ -1,4 +1,4 @@
-"""The set of all messages, and how one is read and written."""
+"""Union of all messages, with their encoding and decoding."""
 
 import msgspec
 
@@ -57,12 +57,12 @@
 
 
 def decode_message(encoded: bytes | memoryview | msgspec.Raw) -> Message:
-    """Read one message.
+    """Decode one message.
 
     Raises
     ------
     CodecError
-        If the bytes are no message that this version knows.
+        If the bytes are not a message known to this version.
 
     Examples
     --------
