--- a/packages/sycamore-core/src/sycamore_core/transport/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Exchange of signed packets with peers, one task for each peer."""
+"""Exchange of signed packets with peers, with one task for each peer."""
 
 from .ages import PacketAges
 from .node import Node, NodeAddress
--- a/packages/sycamore-core/src/sycamore_core/transport/ages.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/ages.py
@@ -1,30 +1,30 @@
-"""How long a packet was on its way, without clocks that agree."""
+"""Estimation of packet ages without synchronized clocks."""
 
 from ..ids import Incarnation
 
-#: A packet on its way for longer is dropped. Ledgers remember a request for
-#: longer than this past its time limit, so that no packet older than the
-#: memory of it can be acted on.
+#: Maximum age of a packet, in seconds; older packets are dropped. Ledgers keep
+#: a request for longer than this past its time limit, so that no packet can be
+#: processed after the record of its request has been removed.
 MAX_PACKET_AGE = 30.0
-#: Time for which packets must have come late and only late before the clocks
-#: are taken to have moved, in seconds: twenty heartbeats at the least.
+#: Time for which all packets must be late before the clocks are assumed to have
+#: shifted, in seconds. It covers at least twenty heartbeats.
 REBASE_SECONDS = 60.0
 
 
 class PacketAges:
-    """Estimates the age of packets from one peer.
+    """Estimates the ages of the packets from one peer.
 
-    What goes wrong: a process is paused, or a packet waits in a socket's
-    buffer, and the packet is acted on long after its sender gave it up. One
-    notices runs that nobody waits for. The difference between the receiver's
-    and the sender's monotonic clock is smallest for the packet that came
-    fastest; every second above that smallest difference was spent waiting.
+    If a process is paused, or a packet waits in a socket buffer, the packet
+    would otherwise be processed long after its sender has abandoned it, which
+    starts runs whose answers are no longer wanted. The difference between the
+    monotonic clocks of receiver and sender is smallest for the fastest packet.
+    Any excess over this smallest difference is waiting time.
 
-    The reverse goes wrong too: the sender's instance was suspended, or its
-    clock drifts, and all its packets look old from then on and would be
-    dropped for good. A wait ends when the waiting packets are read, within
-    moments; packets that have come late and only late for `REBASE_SECONDS`
-    show that the clocks have moved, and the fastest of them is the new zero.
+    If the instance of the sender was suspended, or its clock drifts, all its
+    later packets look old and would be dropped permanently. Packets that
+    really waited are all read within moments. If all packets are late for
+    `REBASE_SECONDS`, the clocks must have shifted, and the fastest of these
+    packets becomes the new reference.
 
     Examples
     --------
@@ -37,9 +37,9 @@
 
     def __init__(self) -> None:
         self.incarnation = Incarnation(0)
-        self.smallest: float = 0
+        self.smallest_difference: float = 0
         self._late_since: float | None = None
-        self._smallest_late: float = 0
+        self._smallest_late_difference: float = 0
 
     def observe(
         self,
@@ -51,20 +51,22 @@
         difference = received_at - sent_at
         if incarnation != self.incarnation:
             self.incarnation = incarnation
-            self.smallest = difference
+            self.smallest_difference = difference
             self._late_since = None
-        self.smallest = min(self.smallest, difference)
-        if difference - self.smallest > MAX_PACKET_AGE:
-            self._note_late(difference, received_at)
+        self.smallest_difference = min(self.smallest_difference, difference)
+        if difference - self.smallest_difference > MAX_PACKET_AGE:
+            self._record_late(difference, received_at)
         else:
             self._late_since = None
-        return float(difference - self.smallest)
+        return float(difference - self.smallest_difference)
 
-    def _note_late(self, difference: float, received_at: float) -> None:
+    def _record_late(self, difference: float, received_at: float) -> None:
         if self._late_since is None:
             self._late_since = received_at
-            self._smallest_late = difference
-        self._smallest_late = min(self._smallest_late, difference)
+            self._smallest_late_difference = difference
+        self._smallest_late_difference = min(
+            self._smallest_late_difference, difference
+        )
         if received_at - self._late_since > REBASE_SECONDS:
-            self.smallest = self._smallest_late
+            self.smallest_difference = self._smallest_late_difference
             self._late_since = None
--- a/packages/sycamore-core/src/sycamore_core/transport/counts.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/counts.py
@@ -1,20 +1,20 @@
-"""Counts of what passed between this process and its peers."""
+"""Counters of the traffic between this process and its peers."""
 
 import dataclasses
 
 
 @dataclasses.dataclass
 class TransportCounts:
-    """Totals since the start of the process.
+    """Totals since the process started.
 
     Attributes
     ----------
     undecodable
-        Packets dropped because they were no packets or not signed.
+        Packets dropped because they were malformed or had no valid signature.
     unknown_messages
-        Messages left out because this version does not know them.
+        Messages skipped because this version does not know them.
     stale
-        Packets dropped because they were on their way for too long.
+        Packets dropped because of their age.
     """
 
     sent_packets: int = 0
--- a/packages/sycamore-core/src/sycamore_core/transport/node.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/node.py
@@ -1,4 +1,4 @@
-"""The listening socket of a process and the peers that talk to it."""
+"""The listening socket of a process and its peers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
@@ -8,32 +8,33 @@
 
 from ..clock import Clock
 from ..errors import TransportError
-from ..messages import PacketCodec, Parcel
+from ..messages import PacketCodec, VerifiedPacket
 from .ages import MAX_PACKET_AGE, PacketAges
 from .counts import TransportCounts
 from .peer import Peer
 
-#: The largest packet taken: a prompt of a million tokens with its headers.
+#: Maximum size of a received packet: a prompt of a million tokens with headers.
 MAX_PACKET_BYTES = 33_554_432
-#: A peer not heard of for this long is forgotten; it is met anew by its next
-#: packet.
+#: Time without packets after which a peer is removed; its next packet adds it
+#: again.
 FORGET_PEER_SECONDS = 120.0
 _SWEEP_SECONDS = 10.0
-#: How often the tasks of a closing node are cancelled, and how long each time
-#: is waited for them, in seconds. They end within milliseconds.
-CLOSE_TRIES = 5
-CLOSE_SECONDS = 0.1
-#: Peers whose packet ages are remembered beyond their forgetting: three times
-#: the processes of the largest fleet planned, two numbers each.
-REMEMBERED_AGES = 4096
+#: Number of times that a closing node cancels its tasks, and the time for which
+#: it waits after each, in seconds. The tasks end within milliseconds.
+CLOSE_ATTEMPTS = 5
+CLOSE_WAIT_SECONDS = 0.1
+#: Number of peers whose packet ages are kept after the peers are removed: three
+#: times the processes of the largest planned fleet, with two numbers each.
+MAX_REMEMBERED_AGES = 4096
 
 PeerTask = Callable[[Peer], Awaitable[None]]
 
 
 class NodeAddress(msgspec.Struct, frozen=True):
-    """Where a process listens, and what it tells its peers.
+    """The address at which a process listens and the one it advertises.
 
-    The two differ where something stands between, such as a relay in a test.
+    They differ if peers connect through an intermediary, such as a relay in a
+    test.
     """
 
     listen: str
@@ -41,18 +42,18 @@
 
 
 class Node:
-    """Receives packets and hands their messages to one task for each peer.
+    """Receives packets and dispatches their messages to one task per peer.
 
     Parameters
     ----------
     address
-        Where to listen.
+        Addresses to listen at and to advertise.
     codec
-        Reads and signs packets.
+        Codec that signs and verifies packets.
     serve_peer
-        Coroutine function that handles one peer until cancelled; it reads
-        `Peer.inbound` and writes with `Peer.post`. It may be set later, but
-        before `start`.
+        Coroutine function that handles one peer until it is cancelled. It
+        reads from `Peer.inbound` and writes with `Peer.post`. It may be set
+        later, but before `start`.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
         self.address = address
         self.codec = codec
         self.clock = clock
-        self.serve_peer = serve_peer or _serve_nobody
+        self.serve_peer = serve_peer or _ignore_peer
         self.counts = TransportCounts()
         self.peers: dict[str, Peer] = {}
         self._ages: dict[str, PacketAges] = {}
@@ -74,12 +75,12 @@
         self._socket: pynng.Pull0 | None = None
 
     def start(self) -> None:
-        """Listen and begin to receive.
+        """Listen and start to receive.
 
         Raises
         ------
         TransportError
-            If the address cannot be listened on.
+            If the node cannot listen on the address.
         """
         socket = pynng.Pull0(recv_max_size=MAX_PACKET_BYTES)
         try:
@@ -94,16 +95,16 @@
         ]
 
     async def close(self) -> None:
-        """Stop receiving and end the tasks of all peers."""
+        """Stop receiving and cancel the tasks of all peers."""
         tasks = list(self._own_tasks)
         for peer_tasks in self._tasks.values():
             tasks.extend(peer_tasks)
         if self._socket is not None:
             self._socket.close()
-        await _end_all(tasks)
+        await _cancel_all(tasks)
 
     def peer(self, address: str) -> Peer:
-        """Return the peer at `address`, met now if it was not known."""
+        """Return the peer at `address`, adding it if it is not known."""
         known = self.peers.get(address)
         if known is not None:
             return known
@@ -117,20 +118,21 @@
         return peer
 
     def forget(self, address: str) -> None:
-        """End the tasks of a peer and drop what waits for it."""
+        """Remove a peer, cancel its tasks and drop its queued messages."""
         self.peers.pop(address, None)
         for task in self._tasks.pop(address, ()):
             task.cancel()
 
     def _ages_of(self, address: str) -> PacketAges:
-        """Return what is known of the ages of a peer's packets.
+        """Return the age estimates of the packets of a peer.
 
-        It outlives the peer. Otherwise a process that slept until it forgot
-        its peers would take the packets that waited for it for fresh ones.
+        They are kept after the peer is removed. Otherwise a process that was
+        suspended until it removed its peers would treat the packets that
+        waited for it as new.
         """
         ages = self._ages.pop(address, None) or PacketAges()
         self._ages[address] = ages
-        while len(self._ages) > REMEMBERED_AGES:
+        while len(self._ages) > MAX_REMEMBERED_AGES:
             self._ages.pop(next(iter(self._ages)))
         return ages
 
@@ -143,27 +145,27 @@
                 return
             self.counts.received_packets += 1
             self.counts.received_bytes += len(received)
-            self._accept(received)
+            self._handle_packet(received)
 
-    def _accept(self, received: bytes) -> None:
+    def _handle_packet(self, received: bytes) -> None:
         try:
             parcel = self.codec.decode(received)
         except TransportError:
             self.counts.undecodable += 1
             return
         self.counts.unknown_messages += parcel.unknown
-        self._hand_on(parcel)
+        self._dispatch(parcel)
 
-    def _hand_on(self, parcel: Parcel) -> None:
+    def _dispatch(self, parcel: VerifiedPacket) -> None:
         now = self.clock.monotonic()
         peer = self.peer(parcel.reply_to)
         if parcel.incarnation != peer.ages.incarnation:
-            peer.heard_anew()
+            peer.handle_new_incarnation()
         age = peer.ages.observe(parcel.incarnation, parcel.sent_at, now)
         if age > MAX_PACKET_AGE:
             self.counts.stale += 1
             return
-        peer.last_heard = now
+        peer.last_received_at = now
         for message in parcel.messages:
             peer.receive(message, now - age)
 
@@ -172,25 +174,25 @@
             await asyncio.sleep(_SWEEP_SECONDS)
             horizon = self.clock.monotonic() - FORGET_PEER_SECONDS
             for address, peer in tuple(self.peers.items()):
-                if 0 < peer.last_heard < horizon:
+                if 0 < peer.last_received_at < horizon:
                     self.forget(address)
 
 
-async def _end_all(tasks: Iterable[asyncio.Task[None]]) -> None:
-    """Cancel tasks until they have ended, for a bounded time.
+async def _cancel_all(tasks: Iterable[asyncio.Task[None]]) -> None:
+    """Cancel tasks repeatedly until they have ended, for a bounded time.
 
-    What goes wrong otherwise: pynng loses the cancellation of a call that
-    completes in the same moment; its task goes on to the next call, and the
-    process that waits for it never ends.
+    pynng loses the cancellation of a call that completes at the same moment.
+    The task then continues with its next call, and a process that waited for
+    it after a single cancellation would never exit.
     """
     pending = set(tasks)
-    tries = 0
-    while pending and tries < CLOSE_TRIES:
-        tries += 1
+    attempts = 0
+    while pending and attempts < CLOSE_ATTEMPTS:
+        attempts += 1
         for task in pending:
             task.cancel()
-        _, pending = await asyncio.wait(pending, timeout=CLOSE_SECONDS)
+        _, pending = await asyncio.wait(pending, timeout=CLOSE_WAIT_SECONDS)
 
 
-async def _serve_nobody(peer: Peer) -> None:
-    """Take no message; a node without a task for its peers only sends."""
+async def _ignore_peer(peer: Peer) -> None:
+    """Handle no messages, for a node that only sends."""
--- a/packages/sycamore-core/src/sycamore_core/transport/peer.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/peer.py
@@ -1,4 +1,4 @@
-"""One peer: what is waiting to be sent to it and what came from it."""
+"""A peer, with its queues of outgoing and received messages."""
 
 import asyncio
 import contextlib
@@ -12,45 +12,46 @@
 from .counts import TransportCounts
 from .dialled import SEND_TIMEOUT_MS, DialledSocket
 
-#: Messages that may wait for one peer. Frames are bounded by their windows;
-#: this bounds the rest when a peer does not take its messages.
+#: Maximum number of messages queued for one peer. Windows bound the frames;
+#: this limit bounds the other messages if a peer does not receive them.
 OUTBOX_MESSAGES = 4096
-#: Messages from one peer that may wait to be handled.
+#: Maximum number of messages from one peer that wait to be handled.
 INBOX_MESSAGES = 4096
-#: Bytes of payload from which on a packet is sent without waiting for more.
-PACKET_BYTES = 262_144
-#: Frames of all streams to a peer ride together in one packet for this long.
-#: A packet costs about 0.13 ms of processor time at each end, so one a token
-#: would use up a core at 7,500 tokens a second.
+#: Payload size at which a packet takes no more messages, in bytes.
+FULL_PACKET_BYTES = 262_144
+#: Time for which the frames of all streams to a peer are collected into one
+#: packet. A packet costs about 0.13 ms of processor time at each end, so one
+#: packet per token would use up a core at 7,500 tokens per second.
 FLUSH_SECONDS = 0.004
-#: Time after which an address that does not answer is dialled anew, in
-#: seconds: the first time and, growing by `REDIAL_GROWTH`, at most. Between
-#: instances in one region a connection is made within some milliseconds.
-FIRST_REDIAL = 0.2
-LONGEST_REDIAL = 1.0
+#: Initial and maximum time after which an address that does not answer is
+#: dialled again, in seconds; the time grows by `REDIAL_GROWTH` per attempt.
+#: Instances in one region connect within milliseconds.
+INITIAL_REDIAL_SECONDS = 0.2
+MAX_REDIAL_SECONDS = 1.0
 REDIAL_GROWTH = 1.5
-#: Pause after a connection has ended, in seconds, so that a peer which drops
-#: each one at once is not dialled without end.
-ENDED_PAUSE = 0.05
+#: Pause after a connection has ended, in seconds. It limits the rate of
+#: connections to a peer that drops each of them immediately.
+RECONNECT_PAUSE_SECONDS = 0.05
 _MS = 1000
 
 
 class Received(msgspec.Struct, frozen=True):
-    """A message and when it was sent, on the receiver's monotonic clock."""
+    """A message with its send time on the receiver's monotonic clock."""
 
     message: Message
     sent_at: float
 
 
 class Peer:
-    """Another process, known by the address at which it listens.
+    """Another process, identified by the address at which it listens.
 
     Attributes
     ----------
     inbound
-        Messages that came from the peer, in order.
-    last_heard
-        Monotonic time of the last packet, in seconds; 0 if none came yet.
+        Messages received from the peer, in order.
+    last_received_at
+        Monotonic time of the last packet, in seconds; 0 before the first
+        packet.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
         self.clock = clock
         self.counts = counts
         self.ages = PacketAges()
-        self.last_heard: float = 0
+        self.last_received_at: float = 0
         self.inbound: asyncio.Queue[Message] = asyncio.Queue(INBOX_MESSAGES)
         self._sent_at: deque[float] = deque(maxlen=INBOX_MESSAGES)
         self._outbox: deque[Message] = deque()
@@ -79,7 +80,8 @@
         Parameters
         ----------
         urgent
-            Send at once; otherwise wait up to `FLUSH_SECONDS` for others.
+            Whether to send at once; otherwise the message waits up to
+            `FLUSH_SECONDS` for other messages.
 
         Returns
         -------
@@ -96,18 +98,18 @@
         return True
 
     async def take(self) -> 'Received':
-        """Wait for the next message and return it with its time of sending."""
+        """Wait for the next message and return it with its send time."""
         message = await self.inbound.get()
         behind = self.inbound.qsize()
         return Received(message, self._sent_at[-1 - behind])
 
     def receive(self, message: Message, sent_at: float = 0) -> None:
-        """Queue a message that came from the peer, or drop it if full.
+        """Queue a message from the peer, or drop it if the queue is full.
 
         Parameters
         ----------
         sent_at
-            When it was sent, on the monotonic clock of this process.
+            Send time on the monotonic clock of this process.
         """
         try:
             self.inbound.put_nowait(message)
@@ -116,43 +118,45 @@
         else:
             self._sent_at.append(sent_at)
 
-    def heard_anew(self) -> None:
-        """Note the first packet of a new incarnation of the peer.
+    def handle_new_incarnation(self) -> None:
+        """Handle the first packet of a new incarnation of the peer.
 
-        A connection that was made before is given up, and so is an attempt
-        that hangs. What goes wrong otherwise: an instance that lost its power
-        answers nothing on its old connections, and what is sent on them is
-        lost until the kernel gives up, seconds after it is back.
+        An earlier connection or a pending attempt to connect is ended.
+        An instance that lost its power does not answer on its old connections.
+        Without this, messages sent on them would be lost until the kernel
+        times out, seconds after the instance is back.
         """
         is_known = self.ages.incarnation != 0
         dialled = self._dialled
         if dialled is not None and (is_known or not dialled.is_connected):
-            dialled.end()
+            dialled.mark_ended()
 
     async def run(self) -> None:
-        """Send what is posted until cancelled.
+        """Send the posted messages until cancelled.
 
-        An address that does not answer is dialled anew. What goes wrong
-        otherwise: the kernel repeats an opening packet that was lost after a
-        second and more, so that peers that come back at nearly the same time
-        do not find one another for that long.
+        An address that does not answer is dialled again. The kernel repeats a
+        lost opening packet only after a second or more. Without dialling
+        again, peers that restart at nearly the same time would not connect
+        for that long.
         """
-        patience = FIRST_REDIAL
-        unreached: float = 0
+        redial_seconds = INITIAL_REDIAL_SECONDS
+        unreached_seconds: float = 0
         while True:
             dialled = DialledSocket(self.address, self._wake)
             self._dialled = dialled
             with contextlib.closing(dialled):
-                if await dialled.is_reached(patience):
-                    patience = FIRST_REDIAL
-                    unreached = 0
+                if await dialled.wait_connected(redial_seconds):
+                    redial_seconds = INITIAL_REDIAL_SECONDS
+                    unreached_seconds = 0
                     await self._send_until_ended(dialled)
-                    await asyncio.sleep(ENDED_PAUSE)
+                    await asyncio.sleep(RECONNECT_PAUSE_SECONDS)
                     continue
-            unreached += patience
-            patience = min(LONGEST_REDIAL, patience * REDIAL_GROWTH)
-            if unreached * _MS >= SEND_TIMEOUT_MS:
-                self._drop_waiting()
+            unreached_seconds += redial_seconds
+            redial_seconds = min(
+                MAX_REDIAL_SECONDS, redial_seconds * REDIAL_GROWTH
+            )
+            if unreached_seconds * _MS >= SEND_TIMEOUT_MS:
+                self._drop_outbox()
 
     async def _send_until_ended(self, dialled: DialledSocket) -> None:
         while True:
@@ -175,30 +179,30 @@
             return
 
     async def _send_packet(self, dialled: DialledSocket) -> None:
-        messages = self._take()
+        messages = self._pop_batch()
         packet = self.codec.encode(messages, self.clock.monotonic())
         if not await dialled.send(packet):
-            # The peer is gone or cut off. Every exchange above tolerates a
-            # lost message, so the packet is dropped rather than kept.
+            # The peer is stopped or disconnected. All exchanges tolerate lost
+            # messages, so the packet is dropped rather than kept.
             self.counts.lost_packets += 1
             return
         self.counts.sent_packets += 1
         self.counts.sent_bytes += len(packet)
 
-    def _drop_waiting(self) -> None:
-        """Drop what waits for a peer that is not there."""
+    def _drop_outbox(self) -> None:
+        """Drop all messages queued for a peer that cannot be reached."""
         while self._outbox:
-            self._take()
+            self._pop_batch()
             self.counts.lost_packets += 1
 
-    def _take(self) -> list[Message]:
-        taken: list[Message] = []
+    def _pop_batch(self) -> list[Message]:
+        batch: list[Message] = []
         size = 0
-        while self._outbox and size < PACKET_BYTES:
+        while self._outbox and size < FULL_PACKET_BYTES:
             message = self._outbox.popleft()
             size += len(getattr(message, 'payload', b''))
-            taken.append(message)
+            batch.append(message)
         if not self._outbox:
             self._wake.clear()
             self._urgent.clear()
-        return taken
+        return batch
--- a/packages/sycamore-core/src/sycamore_core/transport/tests/test_node.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/tests/test_node.py
@@ -20,7 +20,7 @@
 
 
 class Recorder:
-    """Keeps what comes from all peers."""
+    """Collects the messages from all peers."""
 
     def __init__(self) -> None:
         self.messages: asyncio.Queue[Message] = asyncio.Queue()
@@ -61,7 +61,7 @@
     assert asyncio.run(exchange()) == [SettingsWanted(1), SettingsWanted(2)]
 
 
-async def send_to_nobody() -> int:
+async def send_to_absent_peer() -> int:
     node = make_node('alone', Recorder())
     node.start()
     try:
@@ -75,15 +75,15 @@
         await node.close()
 
 
-def test_absent_peer_costs_a_lost_packet_and_nothing_else() -> None:
-    """An endpoint's instance is gone while an entry still sends to it.
+def test_packet_to_an_absent_peer_is_dropped() -> None:
+    """The instance of an endpoint is gone while an entry sends to it.
 
-    The sender must not wait for ever, or its queue would fill for good.
+    The sender must not wait forever, or its queue would stay full.
     """
-    assert asyncio.run(send_to_nobody()) == 1
+    assert asyncio.run(send_to_absent_peer()) == 1
 
 
-async def times_of_sending() -> list[float]:
+async def received_send_times() -> list[float]:
     node = make_node('late', Recorder())
     peer = Peer('tcp://127.0.0.1:1', node.codec, node.clock, node.counts)
     peer.receive(SettingsWanted(1), sent_at=3)
@@ -91,15 +91,15 @@
     return [(await peer.take()).sent_at, (await peer.take()).sent_at]
 
 
-def test_message_is_taken_with_its_time_of_sending() -> None:
-    """A process sleeps while offers wait for it.
+def test_message_is_received_with_its_send_time() -> None:
+    """A process is suspended while offers wait for it.
 
-    It must know how old each is, or it would run what was given up.
+    Without the age of each offer, it would run offers that were cancelled.
     """
-    assert asyncio.run(times_of_sending()) == [3, 4]
+    assert asyncio.run(received_send_times()) == [3, 4]
 
 
-async def age_after_forgetting() -> float:
+async def age_after_removal() -> float:
     node = make_node('sleeper', Recorder())
     first = node.peer('tcp://127.0.0.1:1')
     first.ages.observe(Incarnation(3), sent_at=100, received_at=10)
@@ -110,11 +110,11 @@
     return age
 
 
-def test_packet_that_waited_through_a_long_sleep_is_old() -> None:
-    """An endpoint process sleeps for five minutes while offers wait for it.
+def test_packet_that_waited_during_a_long_suspension_is_old() -> None:
+    """An endpoint process is suspended for five minutes while offers wait.
 
-    It wakes, forgets its silent peers, and reads the offers. Taken for fresh
-    they would run, although their callers were told long ago that their time
-    was over.
+    After it resumes, it removes its silent peers and reads the offers. If
+    the offers counted as new, they would run although their callers received
+    a timeout long ago.
     """
-    assert asyncio.run(age_after_forgetting()) == 300
+    assert asyncio.run(age_after_removal()) == 300
--- a/packages/sycamore-core/src/sycamore_core/transport/tests/test_redial.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/tests/test_redial.py
@@ -1,4 +1,4 @@
-"""Peers that could not be reached at first."""
+"""Tests of dialling peers that cannot be reached at first."""
 
 import asyncio
 import socket
@@ -16,16 +16,16 @@
 
 
 class UnreachedSocket(DialledSocket):
-    """A socket whose opening packets are lost; tells how often it dialled."""
+    """A socket whose first opening packets are lost; counts its dials."""
 
     dials = 0
-    #: Attempts of which nothing comes.
+    #: Number of attempts that fail.
     lost = 3
 
-    async def is_reached(self, seconds: float) -> bool:
+    async def wait_connected(self, timeout_seconds: float) -> bool:
         UnreachedSocket.dials += 1
         if UnreachedSocket.dials > UnreachedSocket.lost:
-            return await super().is_reached(seconds)
+            return await super().wait_connected(timeout_seconds)
         return False
 
 
@@ -42,14 +42,14 @@
         await asyncio.sleep(0.05)
 
 
-async def test_address_that_was_dark_is_dialled_anew(
+async def test_address_that_did_not_answer_is_dialled_again(
     lossy: type[UnreachedSocket],
 ) -> None:
-    """All entries lose their power and come back within half a second.
+    """All entries lose their power and restart within half a second.
 
-    Each dials addresses that are still dark, and its opening packets are
-    lost. Until one of them is repeated, every entry places its callers as if
-    it were alone.
+    Each dials addresses that are not listening yet, and its opening packets
+    are lost. Until a packet is repeated, each entry places requests as if it
+    were the only entry.
     """
     there = Recorder()
     left, right = make_node('left', Recorder()), make_node('right', there)
@@ -67,15 +67,15 @@
     assert lossy.dials > lossy.lost
 
 
-async def test_peer_that_started_anew_is_dialled_anew() -> None:
-    """An instance loses its power; its old connections answer nothing.
+async def test_restarted_peer_is_dialled_again() -> None:
+    """An instance loses its power; its old connections do not answer.
 
-    The others go on sending on them, and what they say is lost for seconds
-    after it is back, unless its first words have them dial it once more.
+    Peers that keep sending on them lose messages for seconds after the
+    instance is back, unless its first packet makes them dial it again.
     """
     left = make_node('left', Recorder())
     with socket.socket() as silent:
-        # Accepts a connection and never reads: the dead instance's.
+        # Accepts connections and never reads, like the failed instance.
         silent.bind(('127.0.0.1', 0))
         silent.listen()
         silent.settimeout(WAIT_SECONDS)
@@ -83,7 +83,7 @@
         peer = left.peer(f'tcp://127.0.0.1:{port}')
         first, _ = await asyncio.to_thread(silent.accept)
         peer.ages.observe(Incarnation(1), 0, 0)
-        peer.heard_anew()
+        peer.handle_new_incarnation()
         try:
             second, _ = await asyncio.to_thread(silent.accept)
         finally:
