--- a/packages/sycamore-core/src/sycamore_core/membership/members.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/members.py
@@ -28,7 +28,7 @@
 OTHER_CELL_TIMEOUT_SECONDS = 6.4
 #: Time after which a lost entry is removed, in seconds. Until then it is still
 #: sent updates, because an entry that restarts may know no live entry.
-FORGET_SECONDS = 120.0
+LOST_RETENTION_SECONDS = 120.0
 
 
 class Membership:
@@ -61,7 +61,7 @@
         self.members: dict[str, Member] = {}
 
     @property
-    def is_one_cell(self) -> bool:
+    def is_single_cell(self) -> bool:
         """Whether all entries exchange updates directly."""
         return len(self.members) < LARGEST_CELL
 
@@ -95,7 +95,7 @@
     @property
     def cells(self) -> frozenset[ZoneId]:
         """Return the zones that are cells; empty if there is only one cell."""
-        if self.is_one_cell:
+        if self.is_single_cell:
             return frozenset()
         zones = {one.zone for one in self.members.values() if not one.is_lost}
         return frozenset((self.zone, *zones))
@@ -103,14 +103,14 @@
     @property
     def other_zones(self) -> frozenset[ZoneId]:
         """Return the zones of other cells, including cells that are lost."""
-        if self.is_one_cell:
+        if self.is_single_cell:
             return frozenset()
         zones = {one.zone for one in self.members.values()}
         return frozenset(zones - {self.zone})
 
     def is_near(self, zone: ZoneId) -> bool:
         """Return whether the entries of a zone belong to the own cell."""
-        return self.is_one_cell or zone == self.zone
+        return self.is_single_cell or zone == self.zone
 
     def near(self) -> list[str]:
         """Return the addresses of the own cell, including lost entries."""
@@ -196,7 +196,7 @@
         lost = []
         for member in tuple(self.members.values()):
             silence = now - member.last_seen_at
-            if silence > FORGET_SECONDS:
+            if silence > LOST_RETENTION_SECONDS:
                 self.members.pop(member.address)
             elif not member.is_lost and silence > self._silence_timeout(member):
                 member.state = MemberState.LOST
--- a/packages/sycamore-core/src/sycamore_core/messages/tests/test_codec.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/tests/test_codec.py
@@ -55,9 +55,9 @@
         SettingsWanted(4),
         Cancel(RequestId('r'), CancelReason.DEADLINE),
     )
-    parcel = codec.decode(codec.encode(sent, sent_at=7))
-    assert parcel.messages == sent
-    assert parcel.sent_at == 7
+    decoded = codec.decode(codec.encode(sent, sent_at=7))
+    assert decoded.messages == sent
+    assert decoded.sent_at == 7
 
 
 def test_rotation_accepts_both_keys() -> None:
@@ -97,12 +97,12 @@
     """
     codec = make_codec(PeerKeys(SECRETS, OLD))
     packet = pack_raw(codec, FromTheFuture(1), SettingsWanted(5))
-    parcel = codec.decode(packet)
-    assert parcel.messages == (SettingsWanted(5),)
-    assert parcel.unknown == 1
+    decoded = codec.decode(packet)
+    assert decoded.messages == (SettingsWanted(5),)
+    assert decoded.unknown == 1
 
 
 def test_appended_field_is_ignored() -> None:
     codec = make_codec(PeerKeys(SECRETS, OLD))
-    parcel = codec.decode(pack_raw(codec, SettingsWantedLater(5, 'a')))
-    assert parcel.messages == (SettingsWanted(5),)
+    decoded = codec.decode(pack_raw(codec, SettingsWantedLater(5, 'a')))
+    assert decoded.messages == (SettingsWanted(5),)
--- a/packages/sycamore-core/src/sycamore_core/routing/loads.py
+++ b/packages/sycamore-core/src/sycamore_core/routing/loads.py
@@ -39,7 +39,7 @@
     is_ahead: bool = False
     pause_ms: float = 0
 
-    def aged(self, age_ms: float) -> 'Unread':
+    def aged_by(self, age_ms: float) -> 'Unread':
         """Return a copy whose times have advanced by `age_ms`."""
         return Unread(
             self.key,
@@ -127,7 +127,7 @@
         if other.promises:
             self.promises = (*self.promises, *other.promises)
         if other.unread:
-            aged = [one.aged(age * _MS) for one in other.unread]
+            aged = [one.aged_by(age * _MS) for one in other.unread]
             self.unread = (*self.unread, *aged)
 
 
--- a/packages/sycamore-core/src/sycamore_core/transport/node.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/node.py
@@ -17,7 +17,7 @@
 MAX_PACKET_BYTES = 33_554_432
 #: Time without packets after which a peer is removed; its next packet adds it
 #: again.
-FORGET_PEER_SECONDS = 120.0
+PEER_RETENTION_SECONDS = 120.0
 _SWEEP_SECONDS = 10.0
 #: Number of times that a closing node cancels its tasks, and the time for which
 #: it waits after each, in seconds. The tasks end within milliseconds.
@@ -149,30 +149,30 @@
 
     def _handle_packet(self, received: bytes) -> None:
         try:
-            parcel = self.codec.decode(received)
+            packet = self.codec.decode(received)
         except TransportError:
             self.counts.undecodable += 1
             return
-        self.counts.unknown_messages += parcel.unknown
-        self._dispatch(parcel)
+        self.counts.unknown_messages += packet.unknown
+        self._dispatch(packet)
 
-    def _dispatch(self, parcel: VerifiedPacket) -> None:
+    def _dispatch(self, packet: VerifiedPacket) -> None:
         now = self.clock.monotonic()
-        peer = self.peer(parcel.reply_to)
-        if parcel.incarnation != peer.ages.incarnation:
+        peer = self.peer(packet.reply_to)
+        if packet.incarnation != peer.ages.incarnation:
             peer.handle_new_incarnation()
-        age = peer.ages.observe(parcel.incarnation, parcel.sent_at, now)
+        age = peer.ages.observe(packet.incarnation, packet.sent_at, now)
         if age > MAX_PACKET_AGE:
             self.counts.stale += 1
             return
         peer.last_received_at = now
-        for message in parcel.messages:
+        for message in packet.messages:
             peer.receive(message, now - age)
 
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(_SWEEP_SECONDS)
-            horizon = self.clock.monotonic() - FORGET_PEER_SECONDS
+            horizon = self.clock.monotonic() - PEER_RETENTION_SECONDS
             for address, peer in tuple(self.peers.items()):
                 if 0 < peer.last_received_at < horizon:
                     self.forget(address)
