--- a/packages/sycamore-core/src/sycamore_core/membership/members.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/members.py
@@ -46,12 +46,12 @@
 
     Examples
     --------
-    >>> known = Membership('tcp://a1', ZoneId('a'))
-    >>> known.hear('tcp://b1', ZoneId('b'), PeerId('b1'), now=0)
+    >>> membership = Membership('tcp://a1', ZoneId('a'))
+    >>> membership.hear('tcp://b1', ZoneId('b'), PeerId('b1'), now=0)
     True
-    >>> known.hear('tcp://b1', ZoneId('b'), PeerId('b1'), now=1)
+    >>> membership.hear('tcp://b1', ZoneId('b'), PeerId('b1'), now=1)
     False
-    >>> [one.address for one in known.expire(now=5)]
+    >>> [one.address for one in membership.expire(now=5)]
     ['tcp://b1']
     """
 
--- a/packages/sycamore-core/src/sycamore_core/membership/tests/builders.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/tests/builders.py
@@ -72,13 +72,13 @@
         return self.entries.get(receiver)
 
     def _send_updates(self, entry: SimulatedEntry) -> None:
-        known = entry.membership
-        for seed in known.missing(entry.seeds):
+        membership = entry.membership
+        for seed in membership.missing(entry.seeds):
             self._introduce(entry, seed)
-        for address in known.near():
+        for address in membership.near():
             self._update_cell_peer(entry, address)
-        for zone in known.other_zones:
-            partner = known.partner(zone, self.intervals)
+        for zone in membership.other_zones:
+            partner = membership.partner(zone, self.intervals)
             if partner is not None:
                 self._update_other_cell(entry, partner)
 
@@ -103,11 +103,13 @@
         receiver = self._deliver(entry, partner)
         if receiver is None:
             return
-        known = entry.membership
-        own = (*known.living_in(entry.zone), entry.address)
+        membership = entry.membership
+        own = (*membership.living_in(entry.zone), entry.address)
         receiver.membership.vouch(entry.zone, own, self.now)
-        for zone in known.cells - {entry.zone}:
-            receiver.membership.learn(zone, known.living_in(zone)[:1], self.now)
+        for zone in membership.cells - {entry.zone}:
+            receiver.membership.learn(
+                zone, membership.living_in(zone)[:1], self.now
+            )
 
     def _deliver(
         self, sender: SimulatedEntry, address: str
--- a/packages/sycamore-core/src/sycamore_core/membership/tests/test_membership.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/tests/test_membership.py
@@ -28,9 +28,9 @@
     fleet.start_all()
     fleet.run_intervals(20)
     for entry in fleet.entries.values():
-        known = entry.membership
-        assert len(known.near()) == 11
-        assert len(known.cells - {entry.zone}) == 7
+        membership = entry.membership
+        assert len(membership.near()) == 11
+        assert len(membership.cells - {entry.zone}) == 7
 
 
 def test_small_fleet_is_one_cell() -> None:
@@ -48,14 +48,14 @@
     If the others removed it, it would return to serving callers without
     updates from any of them.
     """
-    known = Membership('a', OWN)
-    known.hear('b', OWN, PeerId('b'), now=0)
-    assert not known.expire(now=members.NEAR_SILENCE)
-    lost = known.expire(now=members.NEAR_SILENCE + 0.1)
+    membership = Membership('a', OWN)
+    membership.hear('b', OWN, PeerId('b'), now=0)
+    assert not membership.expire(now=members.NEAR_SILENCE)
+    lost = membership.expire(now=members.NEAR_SILENCE + 0.1)
     assert [one.address for one in lost] == ['b']
-    assert known.living == 1
-    assert known.near() == ['b']
-    assert known.hear('b', OWN, PeerId('b'), now=60)
+    assert membership.living == 1
+    assert membership.near() == ['b']
+    assert membership.hear('b', OWN, PeerId('b'), now=60)
 
 
 def test_third_party_reports_do_not_revive_entries_of_the_own_cell() -> None:
@@ -64,23 +64,23 @@
     An entry whose messages do not arrive reports no load, so it must not
     count as alive.
     """
-    known = Membership('a', OWN)
-    known.hear('b', OWN, PeerId('b'), now=0)
-    known.expire(now=10)
-    known.learn(OWN, ['b'], now=10)
-    known.vouch(OWN, ['b'], now=10)
-    assert known.living == 1
+    membership = Membership('a', OWN)
+    membership.hear('b', OWN, PeerId('b'), now=0)
+    membership.expire(now=10)
+    membership.learn(OWN, ['b'], now=10)
+    membership.vouch(OWN, ['b'], now=10)
+    assert membership.living == 1
 
 
 def test_entries_of_another_cell_are_confirmed_by_its_members(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(members, 'LARGEST_CELL', 1)
-    known = Membership('a', OWN)
-    known.vouch(OTHER, ['b', 'c'], now=0)
-    assert known.living_in(OTHER) == ['b', 'c']
-    known.vouch(OTHER, ['c'], now=members.OTHER_CELL_TIMEOUT_SECONDS)
-    lost = known.expire(now=members.OTHER_CELL_TIMEOUT_SECONDS + 0.1)
+    membership = Membership('a', OWN)
+    membership.vouch(OTHER, ['b', 'c'], now=0)
+    assert membership.living_in(OTHER) == ['b', 'c']
+    membership.vouch(OTHER, ['c'], now=members.OTHER_CELL_TIMEOUT_SECONDS)
+    lost = membership.expire(now=members.OTHER_CELL_TIMEOUT_SECONDS + 0.1)
     assert [one.address for one in lost] == ['b']
 
 
@@ -93,8 +93,8 @@
     fleet = SimulatedFleet(zones=5, each=12)
     fleet.start_all()
     fleet.run_intervals(12)
-    known = next(iter(fleet.entries.values())).membership
-    partners = {known.partner(OTHER, interval) for interval in range(12)}
+    membership = next(iter(fleet.entries.values())).membership
+    partners = {membership.partner(OTHER, interval) for interval in range(12)}
     assert len(partners) == 12
 
 
@@ -136,9 +136,9 @@
     Until they are confirmed, an entry that counted only itself would retry
     as many requests as the whole fleet may.
     """
-    known = Membership('a', OWN)
-    known.learn(OTHER, [f'b{number}' for number in range(40)], now=0)
-    assert known.living == 1
-    assert known.expected == 41
-    known.expire(now=members.OTHER_CELL_TIMEOUT_SECONDS + 0.1)
-    assert known.expected == 1
+    membership = Membership('a', OWN)
+    membership.learn(OTHER, [f'b{number}' for number in range(40)], now=0)
+    assert membership.living == 1
+    assert membership.expected == 41
+    membership.expire(now=members.OTHER_CELL_TIMEOUT_SECONDS + 0.1)
+    assert membership.expected == 1
