--- a/benchmarks/forwarding_capacity.py
+++ b/benchmarks/forwarding_capacity.py
@@ -32,7 +32,7 @@
     EngineCosts,
     EngineLoad,
     EngineShare,
-    PausePromise,
+    PauseObjective,
 )
 
 COSTS = EngineCosts(
@@ -57,7 +57,7 @@
     objective_ms=4000,
     pause_ms=1000,
 )
-PROMISE = PausePromise(pause_ms=250, weight=1)
+PROMISE = PauseObjective(pause_ms=250, weight=1)
 #: Engines of fleets that are one cell, and of those with several zones.
 ONE_CELL = (20, 60, 200, 770)
 IN_CELLS = (200, 770)
@@ -103,12 +103,12 @@
 
 def update_of(shares: int) -> LoadUpdate:
     """Return an update that names the load at some engines."""
-    load = EngineLoad(requests=2, writers=1, promises=(PROMISE,))
+    load = EngineLoad(requests=2, writers=1, pause_objectives=(PROMISE,))
     return LoadUpdate(
         entry=EntryId('entry-1'),
         zone=ZoneId('a'),
         settings_version=3,
-        is_whole=False,
+        is_full=False,
         shares=tuple(
             EngineShare(EndpointId(f'i-{number:010x}'), load)
             for number in range(shares)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_harm.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_harm.py
@@ -233,7 +233,7 @@
             * _added_lateness_cost(
                 stream.pause_ms, before, after, _SAFE_PAUSE_FRACTION
             )
-            for stream in (*self.load.promises, *forecast.starting)
+            for stream in (*self.load.pause_objectives, *forecast.starting)
         )
 
     def primary_cost(self, pause_ms: float) -> float:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_work.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_work.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from ...ids import RequestId
-from ...routing import EngineLoad, PausePromise, Unread
+from ...routing import EngineLoad, PauseObjective, UnreadPrompt
 
 _MS = 1000.0
 #: Characters of a request id that identify the request's parts among peers.
@@ -92,7 +92,7 @@
     def load(self, now: float) -> EngineLoad:
         """Return the load that these requests put on the engine."""
         load = EngineLoad()
-        unread: list[Unread] = []
+        unread: list[UnreadPrompt] = []
         weights: dict[float, float] = {}
         for request_id, assignment in self.assignments.items():
             load.memory_tokens += assignment.memory_tokens
@@ -101,8 +101,8 @@
             if not assignment.is_generating:
                 unread.append(_unread(request_id, assignment, now))
         load.unread = tuple(unread)
-        load.promises = tuple(
-            PausePromise(pause_ms, weight)
+        load.pause_objectives = tuple(
+            PauseObjective(pause_ms, weight)
             for pause_ms, weight in weights.items()
         )
         return load
@@ -110,8 +110,8 @@
 
 def _unread(
     request_id: RequestId, assignment: Assignment, now: float
-) -> Unread:
-    return Unread(
+) -> UnreadPrompt:
+    return UnreadPrompt(
         request_key(request_id),
         assignment.weight,
         assignment.read_ms,
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/load_registry.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/load_registry.py
@@ -276,7 +276,7 @@
             for endpoint in endpoints
         }
         return tuple(
-            EngineShare(endpoint, load.merged())
+            EngineShare(endpoint, load.with_merged_objectives())
             for endpoint, load in loads.items()
             if not load.is_idle
         )
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/pass_forecast.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/pass_forecast.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ...routing import EngineCosts, EngineLoad, Unread
+from ...routing import EngineCosts, EngineLoad, UnreadPrompt
 
 #: Mean fraction of a pass that remains when a request arrives.
 _MEAN_REMAINING_FRACTION = 0.5
@@ -54,9 +54,9 @@
     pass_ms: float = 0
     next_intake_ms: float = 0
     queued_ms: float = 0
-    waiting: tuple[Unread, ...] = ()
+    waiting: tuple[UnreadPrompt, ...] = ()
     done_ms: tuple[float, ...] = ()
-    starting: tuple[Unread, ...] = ()
+    starting: tuple[UnreadPrompt, ...] = ()
 
     @property
     def is_generating(self) -> bool:
@@ -93,14 +93,14 @@
 
 
 def _forecast_generating(
-    unread: Sequence[Unread], pass_ms: float
+    unread: Sequence[UnreadPrompt], pass_ms: float
 ) -> PassForecast:
     """Return the forecast of an engine that generates."""
     # Simulates the passes from the first prompt on. The current time is 0.
     queue = sorted(unread, key=_sent_ms)
     begins = -math.inf
     ends = -math.inf
-    admitted: list[Unread] = []
+    admitted: list[UnreadPrompt] = []
     while queue:
         begins = max(
             ends, _sent_ms(queue[0]) + pass_ms * _MEAN_REMAINING_FRACTION
@@ -129,11 +129,11 @@
 class _PendingRead(msgspec.Struct):
     """A prompt at an engine that only reads, and its remaining reading time."""
 
-    unread: Unread
+    unread: UnreadPrompt
     remaining_ms: float
 
 
-def _forecast_reading(unread: Sequence[Unread]) -> PassForecast:
+def _forecast_reading(unread: Sequence[UnreadPrompt]) -> PassForecast:
     """Return the forecast of an engine that only reads."""
     queued: float = 0
     done: list[float] = []
@@ -155,7 +155,7 @@
     )
 
 
-def _pending_now(unread: Sequence[Unread]) -> list[_PendingRead]:
+def _pending_now(unread: Sequence[UnreadPrompt]) -> list[_PendingRead]:
     """Return the reading that remains now, in the order of sending."""
     pending: list[_PendingRead] = []
     at: float = 0
@@ -184,7 +184,7 @@
     return ahead + [read for read in pending if not read.unread.is_ahead]
 
 
-def _overdue_ms(unread: Iterable[Unread]) -> float:
+def _overdue_ms(unread: Iterable[UnreadPrompt]) -> float:
     """Return the estimated time of overdue reading, in milliseconds.
 
     Parts of split prompts are left out: the prompt may be waiting for another
@@ -198,13 +198,13 @@
     return max(overdue, default=0) * _OVERDUE_FRACTION
 
 
-def _is_answered_here(unread: Unread) -> bool:
+def _is_answered_here(unread: UnreadPrompt) -> bool:
     return bool(unread.pause_ms)
 
 
-def _sent_ms(unread: Unread) -> float:
+def _sent_ms(unread: UnreadPrompt) -> float:
     return -unread.waited_ms
 
 
-def _read_ms(unread: Iterable[Unread]) -> float:
+def _read_ms(unread: Iterable[UnreadPrompt]) -> float:
     return sum(prompt.read_ms for prompt in unread)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders.py
@@ -1,7 +1,7 @@
 """Engines and requests for the placement tests."""
 
 from ....ids import EndpointId
-from ....routing import EngineCosts, EngineLoad, PausePromise, Unread
+from ....routing import EngineCosts, EngineLoad, PauseObjective, UnreadPrompt
 from ..engine_harm import Candidate
 from ..plan import ReadRequest
 
@@ -38,7 +38,7 @@
             writers=writers,
             context_tokens=writers * 5000,
             memory_tokens=writers * 6500,
-            promises=(PausePromise(250.0, writers),),
+            pause_objectives=(PauseObjective(250.0, writers),),
         )
         for number in range(first, first + count)
     ]
@@ -54,7 +54,7 @@
     """Return an engine that reads a part of a long prompt."""
     return engine(
         number,
-        unread=(Unread(key, weight, done_ms, 0, slack_ms, is_ahead=True),),
+        unread=(UnreadPrompt(key, weight, done_ms, 0, slack_ms, is_ahead=True),),
     )
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_loads.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_loads.py
@@ -1,7 +1,7 @@
 """Loads of engines from an entry's own work and the reports of its peers."""
 
 from ....ids import EndpointId, PeerId, RequestId, ZoneId
-from ....routing import EngineLoad, EngineShare, Unread
+from ....routing import EngineLoad, EngineShare, UnreadPrompt
 from ..engine_work import Assignment
 from ..load_registry import STALE_SECONDS, LoadRegistry
 from ..pass_forecast import forecast_passes
@@ -61,7 +61,7 @@
 def test_report_of_a_peer_expires() -> None:
     """A peer starts a long prompt and sends no more reports."""
     registry = LoadRegistry()
-    unread = Unread('long', 20, read_ms=1000, waited_ms=0, slack_ms=3000)
+    unread = UnreadPrompt('long', 20, read_ms=1000, waited_ms=0, slack_ms=3000)
     update = share(requests=1, unread=(unread,))
     registry.apply_update(PEER, [update], now=10, is_full=True)
     assert busy_ms(registry, 10.4) == 600
@@ -151,7 +151,7 @@
     registry.apply_update(PEER, registry.own_shares([ENGINE], 10), now=10, is_full=True)
     load = registry.cell_shares([ENGINE], 10, OTHER_PEER)[0].load
     assert load.requests == 6
-    weights = {promise.pause_ms: promise.weight for promise in load.promises}
+    weights = {promise.pause_ms: promise.weight for promise in load.pause_objectives}
     assert weights == {250: 4, 800: 2}
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_overdue.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_overdue.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ....ids import EndpointId, PeerId, RequestId
-from ....routing import EngineLoad, EngineShare, Unread
+from ....routing import EngineLoad, EngineShare, UnreadPrompt
 from ..engine_work import Assignment
 from ..load_registry import LoadRegistry
 from ..overdue import is_overdue
@@ -45,7 +45,7 @@
     If the engine were considered faulty, the prompt would be read twice.
     """
     registry = registry_after_sending()
-    part = Unread('archive-', 40, 2000, 0, 4000, is_ahead=True)
+    part = UnreadPrompt('archive-', 40, 2000, 0, 4000, is_ahead=True)
     share = EngineShare(engine, EngineLoad(unread=(part,)))
     registry.apply_update(PeerId('p'), (share,), 10.1, is_full=False)
     assert not is_overdue(REQUEST, ENGINES, registry, COSTS, 10.8)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_pass_forecast.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_pass_forecast.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ....routing import EngineLoad, PausePromise, Unread
+from ....routing import EngineLoad, PauseObjective, UnreadPrompt
 from ..engine_harm import EngineInterference
 from ..pass_forecast import forecast_passes
 from .builders import COSTS, engine, generating_engines, reading_engine
@@ -18,11 +18,11 @@
 
 def unread_part(
     key: str, read_ms: float, waited_ms: float, **more: object
-) -> Unread:
-    return Unread(key, 20, read_ms, waited_ms, SLACK_MS, **more)
+) -> UnreadPrompt:
+    return UnreadPrompt(key, 20, read_ms, waited_ms, SLACK_MS, **more)
 
 
-def generating_load(*unread: Unread) -> EngineLoad:
+def generating_load(*unread: UnreadPrompt) -> EngineLoad:
     """Return the load of an engine that generates four short answers."""
     load = generating_engines(1)[0].load
     load.unread = unread
@@ -103,7 +103,7 @@
     A prompt that is added to this pass delay_costs the first event of the short
     request, which is emitted when both are read.
     """
-    sent = Unread('turn', 1, 20, 5, slack_ms=300, pause_ms=250)
+    sent = UnreadPrompt('turn', 1, 20, 5, slack_ms=300, pause_ms=250)
     load = generating_load(sent)
     interference = EngineInterference(
         engine(1, **as_fields(load)), COSTS, 50_000
@@ -140,8 +140,8 @@
 
     A pause of the audit costs the operator sixteen times as much.
     """
-    audit = engine(1, requests=1, writers=1, promises=(PausePromise(1000, 21),))
-    guest = engine(2, requests=1, writers=1, promises=(PausePromise(250, 1),))
+    audit = engine(1, requests=1, writers=1, pause_objectives=(PauseObjective(1000, 21),))
+    guest = engine(2, requests=1, writers=1, pause_objectives=(PauseObjective(250, 1),))
     interferences = [
         EngineInterference(one, COSTS, 200_000) for one in (audit, guest)
     ]
--- a/packages/sycamore-core/src/sycamore_core/membership/members.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/members.py
@@ -22,7 +22,7 @@
 LARGEST_CELL = 32
 #: Silence after which an entry of the own cell counts as lost, in seconds. It
 #: sends an update every second, and two messages in a row may be lost.
-NEAR_SILENCE = 3.2
+OWN_CELL_TIMEOUT_SECONDS = 3.2
 #: The same timeout for an entry of another cell, in seconds. The members of its
 #: cell confirm it about once a second, each at its own time.
 OTHER_CELL_TIMEOUT_SECONDS = 6.4
@@ -47,9 +47,9 @@
     Examples
     --------
     >>> membership = Membership('tcp://a1', ZoneId('a'))
-    >>> membership.hear('tcp://b1', ZoneId('b'), PeerId('b1'), now=0)
+    >>> membership.mark_alive('tcp://b1', ZoneId('b'), PeerId('b1'), now=0)
     True
-    >>> membership.hear('tcp://b1', ZoneId('b'), PeerId('b1'), now=1)
+    >>> membership.mark_alive('tcp://b1', ZoneId('b'), PeerId('b1'), now=1)
     False
     >>> [one.address for one in membership.expire(now=5)]
     ['tcp://b1']
@@ -66,13 +66,13 @@
         return len(self.members) < LARGEST_CELL
 
     @property
-    def living(self) -> int:
+    def alive_count(self) -> int:
         """Return the number of live entries, including this one."""
         others = [one for one in self.members.values() if one.is_alive]
         return len(others) + 1
 
     @property
-    def expected(self) -> int:
+    def expected_count(self) -> int:
         """Return the number of entries that may be active, including this one.
 
         Unconfirmed entries are counted. After a restart of all entries, those
@@ -84,13 +84,13 @@
         return len(others) + 1
 
     @property
-    def heard_part(self) -> float:
+    def reporting_fraction(self) -> float:
         """Return the share of all entries that is not lost.
 
         Lost entries may still be active in a part of the network that this
         entry cannot reach.
         """
-        return self.expected / (len(self.members) + 1)
+        return self.expected_count / (len(self.members) + 1)
 
     @property
     def cells(self) -> frozenset[ZoneId]:
@@ -108,19 +108,19 @@
         zones = {one.zone for one in self.members.values()}
         return frozenset(zones - {self.zone})
 
-    def is_near(self, zone: ZoneId) -> bool:
+    def is_own_cell(self, zone: ZoneId) -> bool:
         """Return whether the entries of a zone belong to the own cell."""
         return self.is_single_cell or zone == self.zone
 
-    def near(self) -> list[str]:
+    def own_cell_addresses(self) -> list[str]:
         """Return the addresses of the own cell, including lost entries."""
         return [
             one.address
             for one in self.members.values()
-            if self.is_near(one.zone)
+            if self.is_own_cell(one.zone)
         ]
 
-    def living_in(self, zone: ZoneId) -> list[str]:
+    def alive_in(self, zone: ZoneId) -> list[str]:
         """Return the live members of a zone, excluding this entry."""
         return self._addresses(zone, MemberState.ALIVE)
 
@@ -142,11 +142,11 @@
         ) or self._addresses(zone, MemberState.LOST)
         if not addresses:
             return None
-        own = sorted((*self.living_in(self.zone), self.address))
+        own = sorted((*self.alive_in(self.zone), self.address))
         position = interval + own.index(self.address)
         return addresses[position % len(addresses)]
 
-    def missing(self, seeds: Iterable[str]) -> list[str]:
+    def seeds_to_contact(self, seeds: Iterable[str]) -> list[str]:
         """Return the seeds to contact: all that are not known to be alive.
 
         An entry that knows no other entry discovers the fleet through them.
@@ -154,7 +154,7 @@
         alive = {one.address for one in self.members.values() if one.is_alive}
         return sorted(set(seeds) - alive - {self.address})
 
-    def learn(self, zone: ZoneId, addresses: Iterable[str], now: float) -> None:
+    def add(self, zone: ZoneId, addresses: Iterable[str], now: float) -> None:
         """Add entries of a zone that another entry reported."""
         for address in addresses:
             if address not in self.members and address != self.address:
@@ -164,17 +164,17 @@
                     last_seen_at=now,
                 )
 
-    def vouch(self, zone: ZoneId, addresses: Iterable[str], now: float) -> None:
+    def confirm(self, zone: ZoneId, addresses: Iterable[str], now: float) -> None:
         """Confirm entries of another cell that one of its members reported."""
         reported = tuple(addresses)
-        self.learn(zone, reported, now)
+        self.add(zone, reported, now)
         for address in reported:
             member = self.members.get(address)
-            if member is not None and not self.is_near(member.zone):
+            if member is not None and not self.is_own_cell(member.zone):
                 member.last_seen_at = now
                 member.state = MemberState.ALIVE
 
-    def hear(
+    def mark_alive(
         self,
         address: str,
         zone: ZoneId,
@@ -182,7 +182,7 @@
         now: float,
     ) -> bool:
         """Mark an entry as alive; return whether it was not alive before."""
-        self.learn(zone, (address,), now)
+        self.add(zone, (address,), now)
         member = self.members[address]
         is_found = not member.is_alive
         member.name = name
@@ -213,7 +213,7 @@
 
     def _silence_timeout(self, member: Member) -> float:
         return (
-            NEAR_SILENCE
-            if self.is_near(member.zone)
+            OWN_CELL_TIMEOUT_SECONDS
+            if self.is_own_cell(member.zone)
             else OTHER_CELL_TIMEOUT_SECONDS
         )
--- a/packages/sycamore-core/src/sycamore_core/membership/tests/builders.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/tests/builders.py
@@ -73,9 +73,9 @@
 
     def _send_updates(self, entry: SimulatedEntry) -> None:
         membership = entry.membership
-        for seed in membership.missing(entry.seeds):
+        for seed in membership.seeds_to_contact(entry.seeds):
             self._introduce(entry, seed)
-        for address in membership.near():
+        for address in membership.own_cell_addresses():
             self._update_cell_peer(entry, address)
         for zone in membership.other_zones:
             partner = membership.partner(zone, self.intervals)
@@ -90,25 +90,25 @@
         self._mark_alive(entry, receiver)
         zones = {one.zone for one in receiver.membership.members.values()}
         for zone in zones | {receiver.zone}:
-            alive = receiver.membership.living_in(zone)
-            entry.membership.learn(zone, alive, self.now)
+            alive = receiver.membership.alive_in(zone)
+            entry.membership.add(zone, alive, self.now)
 
     def _update_cell_peer(self, entry: SimulatedEntry, address: str) -> None:
         receiver = self._deliver(entry, address)
         if receiver is not None:
-            alive = entry.membership.living_in(entry.zone)
-            receiver.membership.learn(entry.zone, alive, self.now)
+            alive = entry.membership.alive_in(entry.zone)
+            receiver.membership.add(entry.zone, alive, self.now)
 
     def _update_other_cell(self, entry: SimulatedEntry, partner: str) -> None:
         receiver = self._deliver(entry, partner)
         if receiver is None:
             return
         membership = entry.membership
-        own = (*membership.living_in(entry.zone), entry.address)
-        receiver.membership.vouch(entry.zone, own, self.now)
+        own = (*membership.alive_in(entry.zone), entry.address)
+        receiver.membership.confirm(entry.zone, own, self.now)
         for zone in membership.cells - {entry.zone}:
-            receiver.membership.learn(
-                zone, membership.living_in(zone)[:1], self.now
+            receiver.membership.add(
+                zone, membership.alive_in(zone)[:1], self.now
             )
 
     def _deliver(
@@ -122,7 +122,7 @@
     def _mark_alive(
         self, receiver: SimulatedEntry, sender: SimulatedEntry
     ) -> None:
-        receiver.membership.hear(
+        receiver.membership.mark_alive(
             sender.address,
             sender.zone,
             PeerId(sender.address),
--- a/packages/sycamore-core/src/sycamore_core/membership/tests/test_membership.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/tests/test_membership.py
@@ -15,7 +15,7 @@
     fleet.start_all()
     fleet.run_intervals(12)
     for entry in fleet.entries.values():
-        assert entry.membership.living == 60
+        assert entry.membership.alive_count == 60
         assert len(entry.membership.cells) == 5
 
 
@@ -29,7 +29,7 @@
     fleet.run_intervals(20)
     for entry in fleet.entries.values():
         membership = entry.membership
-        assert len(membership.near()) == 11
+        assert len(membership.own_cell_addresses()) == 11
         assert len(membership.cells - {entry.zone}) == 7
 
 
@@ -39,7 +39,7 @@
     fleet.run_intervals(5)
     for entry in fleet.entries.values():
         assert not entry.membership.cells
-        assert len(entry.membership.near()) == 23
+        assert len(entry.membership.own_cell_addresses()) == 23
 
 
 def test_silent_entry_is_lost_but_still_updated() -> None:
@@ -49,13 +49,13 @@
     updates from any of them.
     """
     membership = Membership('a', OWN)
-    membership.hear('b', OWN, PeerId('b'), now=0)
-    assert not membership.expire(now=members.NEAR_SILENCE)
-    lost = membership.expire(now=members.NEAR_SILENCE + 0.1)
+    membership.mark_alive('b', OWN, PeerId('b'), now=0)
+    assert not membership.expire(now=members.OWN_CELL_TIMEOUT_SECONDS)
+    lost = membership.expire(now=members.OWN_CELL_TIMEOUT_SECONDS + 0.1)
     assert [one.address for one in lost] == ['b']
-    assert membership.living == 1
-    assert membership.near() == ['b']
-    assert membership.hear('b', OWN, PeerId('b'), now=60)
+    assert membership.alive_count == 1
+    assert membership.own_cell_addresses() == ['b']
+    assert membership.mark_alive('b', OWN, PeerId('b'), now=60)
 
 
 def test_third_party_reports_do_not_revive_entries_of_the_own_cell() -> None:
@@ -65,11 +65,11 @@
     count as alive.
     """
     membership = Membership('a', OWN)
-    membership.hear('b', OWN, PeerId('b'), now=0)
+    membership.mark_alive('b', OWN, PeerId('b'), now=0)
     membership.expire(now=10)
-    membership.learn(OWN, ['b'], now=10)
-    membership.vouch(OWN, ['b'], now=10)
-    assert membership.living == 1
+    membership.add(OWN, ['b'], now=10)
+    membership.confirm(OWN, ['b'], now=10)
+    assert membership.alive_count == 1
 
 
 def test_entries_of_another_cell_are_confirmed_by_its_members(
@@ -77,9 +77,9 @@
 ) -> None:
     monkeypatch.setattr(members, 'LARGEST_CELL', 1)
     membership = Membership('a', OWN)
-    membership.vouch(OTHER, ['b', 'c'], now=0)
-    assert membership.living_in(OTHER) == ['b', 'c']
-    membership.vouch(OTHER, ['c'], now=members.OTHER_CELL_TIMEOUT_SECONDS)
+    membership.confirm(OTHER, ['b', 'c'], now=0)
+    assert membership.alive_in(OTHER) == ['b', 'c']
+    membership.confirm(OTHER, ['c'], now=members.OTHER_CELL_TIMEOUT_SECONDS)
     lost = membership.expire(now=members.OTHER_CELL_TIMEOUT_SECONDS + 0.1)
     assert [one.address for one in lost] == ['b']
 
@@ -109,11 +109,11 @@
         fleet.cut_links.update((one, other) for other in rest)
         fleet.cut_links.update((other, one) for other in rest)
     fleet.run_intervals(20)
-    assert {fleet.entries[one].membership.living for one in first} == {24}
+    assert {fleet.entries[one].membership.alive_count for one in first} == {24}
     fleet.cut_links = set()
     fleet.run_intervals(30)
     assert all(
-        entry.membership.living == 60 for entry in fleet.entries.values()
+        entry.membership.alive_count == 60 for entry in fleet.entries.values()
     )
 
 
@@ -125,8 +125,8 @@
     fleet.start_all()
     fleet.run_intervals(8)
     for entry in fleet.entries.values():
-        assert entry.membership.living > members.LARGEST_CELL
-        own = entry.membership.living_in(entry.zone)
+        assert entry.membership.alive_count > members.LARGEST_CELL
+        own = entry.membership.alive_in(entry.zone)
         assert len(own) == 11
 
 
@@ -137,8 +137,8 @@
     as many requests as the whole fleet may.
     """
     membership = Membership('a', OWN)
-    membership.learn(OTHER, [f'b{number}' for number in range(40)], now=0)
-    assert membership.living == 1
-    assert membership.expected == 41
+    membership.add(OTHER, [f'b{number}' for number in range(40)], now=0)
+    assert membership.alive_count == 1
+    assert membership.expected_count == 41
     membership.expire(now=members.OTHER_CELL_TIMEOUT_SECONDS + 0.1)
-    assert membership.expected == 1
+    assert membership.expected_count == 1
--- a/packages/sycamore-core/src/sycamore_core/membership/tests/test_membership_machine.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/tests/test_membership_machine.py
@@ -73,7 +73,7 @@
         self.dead_since.clear()
         self.fleet.run_intervals(CONVERGED)
         for entry in self.fleet.entries.values():
-            assert entry.membership.living == ZONES * EACH
+            assert entry.membership.alive_count == ZONES * EACH
 
     @invariant()
     def dead_entries_do_not_count_as_alive_for_long(self) -> None:
@@ -84,7 +84,7 @@
                 continue
             for entry in self.fleet.entries.values():
                 zone = ZoneId(self.fleet.zone_of[address])
-                assert address not in entry.membership.living_in(zone)
+                assert address not in entry.membership.alive_in(zone)
 
     @invariant()
     def no_entry_counts_itself_twice(self) -> None:
--- a/packages/sycamore-core/src/sycamore_core/messages/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/__init__.py
@@ -1,7 +1,7 @@
 """Messages between processes, with their codec and signatures."""
 
 from .codec import PROTOCOL_VERSION, Packet, PacketCodec, VerifiedPacket
-from .compression import compress, restore
+from .compression import compress, decompress
 from .entries import (
     CellMembers,
     CellSummary,
@@ -78,5 +78,5 @@
     'decode_message',
     'encode_message',
     'inflate',
-    'restore',
+    'decompress',
 )
--- a/packages/sycamore-core/src/sycamore_core/messages/compression.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/compression.py
@@ -32,7 +32,7 @@
 
     Examples
     --------
-    >>> update = LoadUpdate('e1', 'a', settings_version=1, is_whole=True)
+    >>> update = LoadUpdate('e1', 'a', settings_version=1, is_full=True)
     >>> compress(update) == update
     True
     """
@@ -42,7 +42,7 @@
     return CompressedMessage(zlib.compress(encoded, _ZLIB_LEVEL))
 
 
-def restore(compressed: CompressedMessage) -> LoadUpdate | CellSummary:
+def decompress(compressed: CompressedMessage) -> LoadUpdate | CellSummary:
     """Return the message that was compressed.
 
     Raises
--- a/packages/sycamore-core/src/sycamore_core/messages/entries.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/entries.py
@@ -24,7 +24,7 @@
 
     Attributes
     ----------
-    is_whole
+    is_full
         Whether `shares` is the full load of the entry; otherwise it holds
         only the changes since the previous update.
     peers
@@ -32,12 +32,12 @@
         version does not support cells.
     leaving
         Endpoints that the sender recently saw leaving.
-    turns_per_s
+    short_requests_per_s
         Arrival rate of short requests at the sender, per second.
     members
         Entries known to the sender, through which a new member discovers
         the fleet.
-    is_greeting
+    is_introduction
         Whether the receiver is asked to reply with the members it knows.
     failing
         Endpoints at which attempts of the sender have just failed.
@@ -50,13 +50,13 @@
     entry: EntryId
     zone: ZoneId
     settings_version: int
-    is_whole: bool
+    is_full: bool
     shares: tuple[EngineShare, ...] = ()
     peers: tuple[str, ...] = ()
     leaving: tuple[EndpointLifetime, ...] = ()
-    turns_per_s: float = 0
+    short_requests_per_s: float = 0
     members: tuple[CellMembers, ...] = ()
-    is_greeting: bool = False
+    is_introduction: bool = False
     failing: tuple[EndpointId, ...] = ()
     crashes: tuple[CrashReport, ...] = ()
     limits: tuple[LimitReport, ...] = ()
@@ -77,7 +77,7 @@
         with one another reconnect.
     leaving
         Endpoints that were recently seen leaving.
-    turns_per_s
+    short_requests_per_s
         Arrival rate of short requests in the cell, per second.
     crashes
         Crashes of endpoints, with the requests that they processed.
@@ -93,7 +93,7 @@
     members: tuple[str, ...] = ()
     contacts: tuple[CellMembers, ...] = ()
     leaving: tuple[EndpointLifetime, ...] = ()
-    turns_per_s: float = 0
+    short_requests_per_s: float = 0
     crashes: tuple[CrashReport, ...] = ()
     limits: tuple[LimitReport, ...] = ()
 
--- a/packages/sycamore-core/src/sycamore_core/messages/tests/test_compression.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/tests/test_compression.py
@@ -6,8 +6,8 @@
 
 from ...errors import CodecError
 from ...ids import EndpointId, EntryId, ZoneId
-from ...routing import EngineLoad, EngineShare, Unread
-from .. import CompressedMessage, LoadUpdate, SettingsWanted, compress, restore
+from ...routing import EngineLoad, EngineShare, UnreadPrompt
+from .. import CompressedMessage, LoadUpdate, SettingsWanted, compress, decompress
 from ..compression import MAX_MESSAGE_BYTES
 from ..union import encode_message
 
@@ -22,13 +22,13 @@
 
 def split_over(engines: int) -> LoadUpdate:
     """Return the update about a prompt that several engines read."""
-    part = Unread('9f87ce33', 87.3, 2147.234, 1.734, 3984.13, is_ahead=True)
+    part = UnreadPrompt('9f87ce33', 87.3, 2147.234, 1.734, 3984.13, is_ahead=True)
     load = EngineLoad(unread=(part,))
     return LoadUpdate(
         EntryId('entry-1'),
         ZoneId('a'),
         settings_version=3,
-        is_whole=False,
+        is_full=False,
         shares=tuple(
             EngineShare(EndpointId(NAMES[one]), load) for one in range(engines)
         ),
@@ -51,7 +51,7 @@
     update = split_over(17)
     compressed = compress(update)
     assert isinstance(compressed, CompressedMessage)
-    assert restore(compressed) == update
+    assert decompress(compressed) == update
 
 
 @pytest.mark.parametrize(
@@ -71,4 +71,4 @@
     The receiver must drop the message and keep running.
     """
     with pytest.raises(CodecError):
-        restore(CompressedMessage(payload))
+        decompress(CompressedMessage(payload))
--- a/packages/sycamore-core/src/sycamore_core/routing/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/routing/__init__.py
@@ -5,7 +5,7 @@
 from .endpoints import EndpointLifetime, EndpointRecord
 from .engines import EngineCosts
 from .limits import LimitReport
-from .loads import EngineLoad, EngineShare, PausePromise, Unread
+from .loads import EngineLoad, EngineShare, PauseObjective, UnreadPrompt
 from .routes import (
     CallerLimits,
     Route,
@@ -32,7 +32,7 @@
     'RoutingTable',
     'ServiceRecord',
     'ServiceShare',
-    'PausePromise',
-    'Unread',
+    'PauseObjective',
+    'UnreadPrompt',
     'WorkspaceRecord',
 )
--- a/packages/sycamore-core/src/sycamore_core/routing/loads.py
+++ b/packages/sycamore-core/src/sycamore_core/routing/loads.py
@@ -4,10 +4,10 @@
 
 from ..ids import EndpointId
 
-_MS = 1000.0
+_MS_PER_SECOND = 1000.0
 
 
-class Unread(msgspec.Struct, frozen=True, array_like=True):
+class UnreadPrompt(msgspec.Struct, frozen=True, array_like=True):
     """A prompt, or a part of a prompt, that an engine has not read yet.
 
     Attributes
@@ -39,9 +39,9 @@
     is_ahead: bool = False
     pause_ms: float = 0
 
-    def aged_by(self, age_ms: float) -> 'Unread':
+    def aged_by(self, age_ms: float) -> 'UnreadPrompt':
         """Return a copy whose times have advanced by `age_ms`."""
-        return Unread(
+        return UnreadPrompt(
             self.key,
             self.weight,
             self.read_ms,
@@ -52,7 +52,7 @@
         )
 
 
-class PausePromise(msgspec.Struct, frozen=True, array_like=True):
+class PauseObjective(msgspec.Struct, frozen=True, array_like=True):
     """Objective for the longest pause in a set of streams.
 
     Attributes
@@ -81,7 +81,7 @@
         Sum of the contexts of the generating requests, in tokens.
     memory_tokens
         Memory in use or reserved, in tokens.
-    promises
+    pause_objectives
         Pause objectives of the generating requests.
     unread
         Prompts that the engine has not read yet.
@@ -91,8 +91,8 @@
     writers: int = 0
     context_tokens: int = 0
     memory_tokens: int = 0
-    promises: tuple[PausePromise, ...] = ()
-    unread: tuple[Unread, ...] = ()
+    pause_objectives: tuple[PauseObjective, ...] = ()
+    unread: tuple[UnreadPrompt, ...] = ()
 
     @property
     def is_idle(self) -> bool:
@@ -100,17 +100,17 @@
         has_work = bool(self.requests or self.unread)
         return not has_work and not self.memory_tokens
 
-    def merged(self) -> 'EngineLoad':
+    def with_merged_objectives(self) -> 'EngineLoad':
         """Return a copy with streams of equal pause objective combined."""
         weights: dict[float, float] = {}
-        for objective in self.promises:
+        for objective in self.pause_objectives:
             known = weights.get(objective.pause_ms, 0)
             weights[objective.pause_ms] = known + objective.weight
         objectives = tuple(
-            PausePromise(pause_ms, weight)
+            PauseObjective(pause_ms, weight)
             for pause_ms, weight in weights.items()
         )
-        return msgspec.structs.replace(self, promises=objectives)
+        return msgspec.structs.replace(self, pause_objectives=objectives)
 
     def add(self, other: 'EngineLoad', age: float) -> None:
         """Add the load that another entry has placed on the engine.
@@ -124,10 +124,10 @@
         self.writers += other.writers
         self.context_tokens += other.context_tokens
         self.memory_tokens += other.memory_tokens
-        if other.promises:
-            self.promises = (*self.promises, *other.promises)
+        if other.pause_objectives:
+            self.pause_objectives = (*self.pause_objectives, *other.pause_objectives)
         if other.unread:
-            aged = [one.aged_by(age * _MS) for one in other.unread]
+            aged = [one.aged_by(age * _MS_PER_SECOND) for one in other.unread]
             self.unread = (*self.unread, *aged)
 
 
--- a/packages/sycamore-core/src/sycamore_core/transport/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/__init__.py
@@ -2,6 +2,6 @@
 
 from .ages import PacketAges
 from .node import Node, NodeAddress
-from .peer import Peer, Received
+from .peer import Peer, ReceivedMessage
 
-__all__ = ('Node', 'NodeAddress', 'PacketAges', 'Peer', 'Received')
+__all__ = ('Node', 'NodeAddress', 'PacketAges', 'Peer', 'ReceivedMessage')
--- a/packages/sycamore-core/src/sycamore_core/transport/ages.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/ages.py
@@ -5,7 +5,7 @@
 #: Maximum age of a packet, in seconds; older packets are dropped. Ledgers keep
 #: a request for longer than this past its time limit, so that no packet can be
 #: processed after the record of its request has been removed.
-MAX_PACKET_AGE = 30.0
+MAX_PACKET_AGE_SECONDS = 30.0
 #: Time for which all packets must be late before the clocks are assumed to have
 #: shifted, in seconds. It covers at least twenty heartbeats.
 REBASE_SECONDS = 60.0
@@ -54,7 +54,7 @@
             self.smallest_difference = difference
             self._late_since = None
         self.smallest_difference = min(self.smallest_difference, difference)
-        if difference - self.smallest_difference > MAX_PACKET_AGE:
+        if difference - self.smallest_difference > MAX_PACKET_AGE_SECONDS:
             self._record_late(difference, received_at)
         else:
             self._late_since = None
--- a/packages/sycamore-core/src/sycamore_core/transport/node.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/node.py
@@ -9,7 +9,7 @@
 from ..clock import Clock
 from ..errors import TransportError
 from ..messages import PacketCodec, VerifiedPacket
-from .ages import MAX_PACKET_AGE, PacketAges
+from .ages import MAX_PACKET_AGE_SECONDS, PacketAges
 from .counts import TransportCounts
 from .peer import Peer
 
@@ -117,7 +117,7 @@
         ]
         return peer
 
-    def forget(self, address: str) -> None:
+    def remove_peer(self, address: str) -> None:
         """Remove a peer, cancel its tasks and drop its queued messages."""
         self.peers.pop(address, None)
         for task in self._tasks.pop(address, ()):
@@ -162,12 +162,12 @@
         if packet.incarnation != peer.ages.incarnation:
             peer.handle_new_incarnation()
         age = peer.ages.observe(packet.incarnation, packet.sent_at, now)
-        if age > MAX_PACKET_AGE:
+        if age > MAX_PACKET_AGE_SECONDS:
             self.counts.stale += 1
             return
         peer.last_received_at = now
         for message in packet.messages:
-            peer.receive(message, now - age)
+            peer.enqueue_received(message, now - age)
 
     async def _sweep(self) -> None:
         while True:
@@ -175,7 +175,7 @@
             horizon = self.clock.monotonic() - PEER_RETENTION_SECONDS
             for address, peer in tuple(self.peers.items()):
                 if 0 < peer.last_received_at < horizon:
-                    self.forget(address)
+                    self.remove_peer(address)
 
 
 async def _cancel_all(tasks: Iterable[asyncio.Task[None]]) -> None:
--- a/packages/sycamore-core/src/sycamore_core/transport/peer.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/peer.py
@@ -35,7 +35,7 @@
 _MS = 1000
 
 
-class Received(msgspec.Struct, frozen=True):
+class ReceivedMessage(msgspec.Struct, frozen=True):
     """A message with its send time on the receiver's monotonic clock."""
 
     message: Message
@@ -97,13 +97,13 @@
             self._urgent.set()
         return True
 
-    async def take(self) -> 'Received':
+    async def next_message(self) -> 'ReceivedMessage':
         """Wait for the next message and return it with its send time."""
         message = await self.inbound.get()
         behind = self.inbound.qsize()
-        return Received(message, self._sent_at[-1 - behind])
+        return ReceivedMessage(message, self._sent_at[-1 - behind])
 
-    def receive(self, message: Message, sent_at: float = 0) -> None:
+    def enqueue_received(self, message: Message, sent_at: float = 0) -> None:
         """Queue a message from the peer, or drop it if the queue is full.
 
         Parameters
--- a/packages/sycamore-core/src/sycamore_core/transport/tests/test_ages_moved.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/tests/test_ages_moved.py
@@ -1,7 +1,7 @@
 """Tests of packet ages after a shift of a clock."""
 
 from ...ids import Incarnation
-from ..ages import MAX_PACKET_AGE, REBASE_SECONDS, PacketAges
+from ..ages import MAX_PACKET_AGE_SECONDS, REBASE_SECONDS, PacketAges
 
 SENDER = Incarnation(1)
 SUSPENDED_SECONDS = 3600
@@ -20,7 +20,7 @@
         ages.observe(SENDER, second, second + SUSPENDED_SECONDS)
         for second in seconds
     ]
-    assert observed_ages[0] > MAX_PACKET_AGE
+    assert observed_ages[0] > MAX_PACKET_AGE_SECONDS
     assert observed_ages[-1] == 0
 
 
@@ -35,5 +35,5 @@
         ages.observe(SENDER, second, SUSPENDED_SECONDS + second / 1000)
         for second in range(1, 3000)
     ]
-    assert all(age > MAX_PACKET_AGE for age in waiting_ages)
+    assert all(age > MAX_PACKET_AGE_SECONDS for age in waiting_ages)
     assert ages.observe(SENDER, SUSPENDED_SECONDS, SUSPENDED_SECONDS) == 0
--- a/packages/sycamore-core/src/sycamore_core/transport/tests/test_node.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/tests/test_node.py
@@ -86,9 +86,9 @@
 async def received_send_times() -> list[float]:
     node = make_node('late', Recorder())
     peer = Peer('tcp://127.0.0.1:1', node.codec, node.clock, node.counts)
-    peer.receive(SettingsWanted(1), sent_at=3)
-    peer.receive(SettingsWanted(2), sent_at=4)
-    return [(await peer.take()).sent_at, (await peer.take()).sent_at]
+    peer.enqueue_received(SettingsWanted(1), sent_at=3)
+    peer.enqueue_received(SettingsWanted(2), sent_at=4)
+    return [(await peer.next_message()).sent_at, (await peer.next_message()).sent_at]
 
 
 def test_message_is_received_with_its_send_time() -> None:
@@ -103,7 +103,7 @@
     node = make_node('sleeper', Recorder())
     first = node.peer('tcp://127.0.0.1:1')
     first.ages.observe(Incarnation(3), sent_at=100, received_at=10)
-    node.forget(first.address)
+    node.remove_peer(first.address)
     again = node.peer(first.address)
     age = again.ages.observe(Incarnation(3), sent_at=101, received_at=311)
     await node.close()
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/desk.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/desk.py
@@ -19,7 +19,7 @@
 )
 from sycamore_core.platform import SettingsClaim
 from sycamore_core.telemetry import Log, Metrics
-from sycamore_core.transport import Peer, Received
+from sycamore_core.transport import Peer, ReceivedMessage
 
 from .admission import Admission
 from .groups import GroupDesk
@@ -61,7 +61,7 @@
     async def serve(self, peer: Peer) -> None:
         """Handle the messages of one peer until cancelled."""
         while True:
-            received = await peer.take()
+            received = await peer.next_message()
             self.owners.hear(owner_of(peer), self.runner.clock.monotonic())
             try:
                 self._handle(received, peer)
@@ -160,7 +160,7 @@
         if body is not None:
             peer.post(body)
 
-    def _handle(self, received: Received, peer: Peer) -> None:
+    def _handle(self, received: ReceivedMessage, peer: Peer) -> None:
         if isinstance(received.message, Offer):
             self.take_offer(received.message, peer, received.sent_at)
         else:
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/run_rules.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/run_rules.py
@@ -3,7 +3,7 @@
 from sycamore_core.ids import Attempt
 from sycamore_core.messages import Declined, Offer, RunReport
 from sycamore_core.states import Execution, RefusalReason, RunState
-from sycamore_core.transport.ages import MAX_PACKET_AGE
+from sycamore_core.transport.ages import MAX_PACKET_AGE_SECONDS
 
 from ..keys.doubt import REMEMBERED_SECONDS
 from .records import Owner, RunRecord
@@ -40,8 +40,8 @@
     longest budget, and a caller's key until it is too old to be run.
     """
     if offer.idempotent:
-        return now + max(offer.budget, 0) + MAX_PACKET_AGE
-    kept = LONGEST_BUDGET_SECONDS + MAX_PACKET_AGE
+        return now + max(offer.budget, 0) + MAX_PACKET_AGE_SECONDS
+    kept = LONGEST_BUDGET_SECONDS + MAX_PACKET_AGE_SECONDS
     return now + max(kept, REMEMBERED_SECONDS)
 
 
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/runs.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/runs.py
@@ -23,7 +23,7 @@
     RefusalReason,
     RunState,
 )
-from sycamore_core.transport.ages import MAX_PACKET_AGE
+from sycamore_core.transport.ages import MAX_PACKET_AGE_SECONDS
 
 from .answers import Answer
 from .records import Owner, RunRecord
@@ -259,7 +259,7 @@
                 request_id=request_id,
                 attempt=attempt,
                 state=RunState.WITHDRAWN,
-                forget_at=now + LONGEST_BUDGET_SECONDS + MAX_PACKET_AGE,
+                forget_at=now + LONGEST_BUDGET_SECONDS + MAX_PACKET_AGE_SECONDS,
             )
             self.records[request_id] = record
         elif can_bar(record, owner):
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_run_machine.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_run_machine.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from sycamore_core.states import Execution, Outcome, RefusalReason
-from sycamore_core.transport.ages import MAX_PACKET_AGE
+from sycamore_core.transport.ages import MAX_PACKET_AGE_SECONDS
 
 from ..records import RunRecord
 from ..runs import RunLedger
@@ -81,7 +81,7 @@
         if number < len(self.tasks):
             self.ledger.end(self.tasks[number], outcome)
 
-    @rule(pause=st.sampled_from([0.1, 5, MAX_PACKET_AGE, 200]))
+    @rule(pause=st.sampled_from([0.1, 5, MAX_PACKET_AGE_SECONDS, 200]))
     def time_passes(self, pause) -> None:
         self.now += pause
         self.ledger.overdue(self.now)
--- a/packages/sycamore-entry/src/sycamore_entry/fleet/links.py
+++ b/packages/sycamore-entry/src/sycamore_entry/fleet/links.py
@@ -270,4 +270,4 @@
     def _close(self, link: EndpointLink) -> None:
         self._addresses.pop(link.address, None)
         if self._node is not None:
-            self._node.forget(link.address)
+            self._node.remove_peer(link.address)
--- a/packages/sycamore-entry/src/sycamore_entry/fleet/tests/test_links.py
+++ b/packages/sycamore-entry/src/sycamore_entry/fleet/tests/test_links.py
@@ -51,7 +51,7 @@
     def peer(self, address: str) -> RecordingPeer:
         return self.peers.setdefault(address, RecordingPeer())
 
-    def forget(self, address: str) -> None:
+    def remove_peer(self, address: str) -> None:
         self.forgotten.append(address)
 
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
@@ -33,7 +33,7 @@
     SettingsWanted,
     TrialAnswer,
     TrialWanted,
-    restore,
+    decompress,
 )
 from sycamore_core.routing import LimitReport
 from sycamore_core.telemetry import Log
@@ -142,7 +142,7 @@
         """
         now = self.clock.monotonic()
         seeds = self.context.settings.seeds
-        for seed in self.membership.missing(seeds):
+        for seed in self.membership.seeds_to_contact(seeds):
             self.sender.introduce(seed, now)
 
     async def run(self) -> None:
@@ -176,7 +176,7 @@
 
     def _decompress(self, message: CompressedMessage) -> Message:
         try:
-            return restore(message)
+            return decompress(message)
         except CodecError as error:
             # Treated as a lost message; a full update follows in a second.
             self.log.warning('update_unreadable', reason=str(error))
@@ -199,8 +199,8 @@
             PeerId(update.entry),
             update.shares,
             now,
-            is_full=update.is_whole,
-            short_requests_per_s=update.turns_per_s,
+            is_full=update.is_full,
+            short_requests_per_s=update.short_requests_per_s,
         )
         self._apply_failing(update, now)
         for cell in update.members:
@@ -236,13 +236,13 @@
         self._record_peer(peer, summary, now)
         self.crashes.handle_reports(summary.crashes, summary.entry)
         self._apply_limits(PeerId(summary.zone), summary.limits, now)
-        self.membership.vouch(summary.zone, summary.members, now)
-        if not self.membership.is_near(summary.zone):
+        self.membership.confirm(summary.zone, summary.members, now)
+        if not self.membership.is_own_cell(summary.zone):
             self.registry.apply_cell_summary(
                 summary.zone,
                 summary.shares,
                 now,
-                summary.turns_per_s,
+                summary.short_requests_per_s,
             )
         for contact in summary.contacts:
             self._add_members(contact, now)
@@ -255,7 +255,7 @@
     ) -> None:
         """Record that a peer is alive, and apply its reports."""
         name = PeerId(message.entry)
-        if self.membership.hear(peer.address, message.zone, name, now):
+        if self.membership.mark_alive(peer.address, message.zone, name, now):
             self.log.info('peer_found', peer=name, address=peer.address)
             self.trials.record_peer_joined(now)
         self.context.last_peer_message_at = now
@@ -267,8 +267,8 @@
         known = self.membership.members.keys()
         added = set(cell.addresses).difference(known)
         added.discard(self.membership.address)
-        self.membership.learn(cell.zone, added, now)
-        if self.membership.is_near(cell.zone):
+        self.membership.add(cell.zone, added, now)
+        if self.membership.is_own_cell(cell.zone):
             for address in sorted(added):
                 self.sender.introduce(address, now)
 
@@ -286,8 +286,8 @@
         incarnation = peer.ages.incarnation
         is_new = self._incarnations.get(peer.address) != incarnation
         self._incarnations[peer.address] = incarnation
-        is_near = self.membership.is_near(update.zone)
-        if update.is_greeting or (is_new and is_near):
+        is_near = self.membership.is_own_cell(update.zone)
+        if update.is_introduction or (is_new and is_near):
             peer.post(self.writer.introduction(now))
 
     def _update_membership(self, now: float) -> None:
@@ -300,11 +300,11 @@
                 address=lost.address,
                 zone=lost.zone,
             )
-        self.context.entry_count = self.membership.expected
+        self.context.entry_count = self.membership.expected_count
         limits = self.context.dispatcher.limits
-        limits.reporting_fraction = self.membership.heard_part
-        limits.entry_count = len(self.membership.near()) + 1
-        self.keeper.read_limit.entries = self.membership.expected
+        limits.reporting_fraction = self.membership.reporting_fraction
+        limits.entry_count = len(self.membership.own_cell_addresses()) + 1
+        self.keeper.read_limit.entries = self.membership.expected_count
         cells = self.membership.cells
         if cells != self.context.dispatcher.cells.zones:
             self.log.info('cells_changed', zones=sorted(cells))
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_schedule.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_schedule.py
@@ -43,7 +43,7 @@
 
     @property
     def _peer_count(self) -> int:
-        return len(self.membership.near())
+        return len(self.membership.own_cell_addresses())
 
     def _urgent_wait_seconds(self) -> float:
         now = self.clock.monotonic()
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_sender.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_sender.py
@@ -29,19 +29,19 @@
         """Introduce this entry to a peer and request its members."""
         introduction = msgspec.structs.replace(
             self.writer.full(now),
-            is_greeting=True,
+            is_introduction=True,
         )
         self.node.peer(address).post(introduction)
 
     def send_changes(self, changed: set[EndpointId], now: float) -> None:
         """Send changed loads to the own cell and to the engines' cells."""
-        self._send(self.writer.changes(changed, now), self.membership.near())
-        self._send_to_owners(changed, now, is_whole=False)
+        self._send(self.writer.changes(changed, now), self.membership.own_cell_addresses())
+        self._send_to_owners(changed, now, is_full=False)
 
     def send_full(self, now: float) -> None:
         """Send a full update to the own cell, a summary to each other cell."""
-        self._send(self.writer.full(now), self.membership.near())
-        self._send_to_owners(self.writer.registry.own, now, is_whole=True)
+        self._send(self.writer.full(now), self.membership.own_cell_addresses())
+        self._send_to_owners(self.writer.registry.own, now, is_full=True)
         self._send_summaries(now)
 
     def _send(self, message: LoadUpdate, addresses: Iterable[str]) -> None:
@@ -62,7 +62,7 @@
         endpoints: Iterable[EndpointId],
         now: float,
         *,
-        is_whole: bool,
+        is_full: bool,
     ) -> None:
         """Send other cells the load of this entry at their engines.
 
@@ -73,7 +73,7 @@
         for zone, owned in self.writer.by_owner(endpoints).items():
             update = msgspec.structs.replace(
                 self.writer.changes(owned, now),
-                is_whole=is_whole,
-                turns_per_s=0,
+                is_full=is_full,
+                short_requests_per_s=0,
             )
-            self._send(update, self.membership.living_in(zone))
+            self._send(update, self.membership.alive_in(zone))
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
@@ -36,9 +36,9 @@
             entry=context.entry,
             zone=context.settings.zone,
             settings_version=context.keeper.version,
-            is_whole=False,
+            is_full=False,
             shares=self.registry.own_shares(endpoints, now),
-            turns_per_s=self.registry.short_requests.rate(now),
+            short_requests_per_s=self.registry.short_requests.rate(now),
             failing=context.dispatcher.failures.endpoints_to_report(now),
             crashes=context.quarantine.book.recent_reports(now),
             limits=self.limits.reports(set(endpoints), now),
@@ -48,7 +48,7 @@
         """Return a full update."""
         return msgspec.structs.replace(
             self.changes(self.registry.own, now),
-            is_whole=True,
+            is_full=True,
             members=self._all_living(own_cell=True),
             leaving=self.context.keeper.leaving.recent(),
             crashes=self.context.quarantine.book.rotating_reports(now),
@@ -86,7 +86,7 @@
             members=(*own.addresses, self.membership.address),
             contacts=tuple(self._contacts()),
             leaving=context.keeper.leaving.recent(),
-            turns_per_s=self.registry.predicted_demand(now).short_requests_per_s,
+            short_requests_per_s=self.registry.predicted_demand(now).short_requests_per_s,
             crashes=context.quarantine.book.rotating_reports(now),
             limits=self._limits_in(zone, now, name),
         )
@@ -128,11 +128,11 @@
         known = self.membership
         zones = {one.zone for one in known.members.values()}
         if own_cell:
-            zones = {zone for zone in zones if known.is_near(zone)}
+            zones = {zone for zone in zones if known.is_own_cell(zone)}
         return tuple(self._living(zone) for zone in sorted(zones))
 
     def _living(self, zone: ZoneId) -> CellMembers:
-        return CellMembers(zone, tuple(self.membership.living_in(zone)))
+        return CellMembers(zone, tuple(self.membership.alive_in(zone)))
 
     def _contacts(self) -> Iterable[CellMembers]:
         for zone in sorted(self.membership.cells - {self.membership.zone}):
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_mesh.py
@@ -105,5 +105,5 @@
 
 def _has_discovered(process: ForwardingProcess, entries: int) -> bool:
     """Return whether an entry knows and counts all entries."""
-    member_count = process.mesh.membership.living
+    member_count = process.mesh.membership.alive_count
     return min(member_count, process.context.entry_count) == entries
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_cells.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_cells.py
@@ -193,7 +193,7 @@
         restarted.start_tasks()
         try:
             async with asyncio.timeout(15):
-                while restarted.mesh.membership.living < 3:
+                while restarted.mesh.membership.alive_count < 3:
                     await asyncio.sleep(0.02)
         finally:
             await restarted.close()
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials.py
@@ -5,7 +5,7 @@
 from sycamore_core.decisions.direct.trials import MIN_UNINTERRUPTED_SECONDS
 from sycamore_core.ids import ContentDigest, PeerId, ZoneId
 from sycamore_core.membership import Membership
-from sycamore_core.membership.members import NEAR_SILENCE
+from sycamore_core.membership.members import OWN_CELL_TIMEOUT_SECONDS
 from sycamore_core.messages import TrialAnswer, TrialWanted
 
 from ..trials import FleetTrialGrants, LocalTrialGrants
@@ -49,7 +49,7 @@
 
     def receive_update(self, address: str) -> None:
         now = self.clock.monotonic()
-        if self.membership.hear(address, ZONE, PeerId(address), now):
+        if self.membership.mark_alive(address, ZONE, PeerId(address), now):
             self.fleet.record_peer_joined(now)
 
     def run(self, seconds: float) -> None:
@@ -101,7 +101,7 @@
     """Guards against trials in both halves of a partitioned fleet."""
     entry = EntryUnderTest(others=3)
     entry.add_suspect()
-    entry.run(NEAR_SILENCE)
+    entry.run(OWN_CELL_TIMEOUT_SECONDS)
     entry.membership.expire(entry.clock.monotonic())
     assert not entry.grant_to_peer()
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials_machine.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials_machine.py
@@ -102,7 +102,7 @@
             return
         now = self.clock.monotonic()
         address = sender.membership.address
-        if self.membership.hear(address, ZONE, PeerId(address), now):
+        if self.membership.mark_alive(address, ZONE, PeerId(address), now):
             self.fleet.record_peer_joined(now)
         self.quarantine.handle_reports(sender.quarantine.book.rotating_reports(now), now)
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/trials.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/trials.py
@@ -135,7 +135,7 @@
         now = self.local_grants.clock.monotonic()
         self.record_running(now)
         steady_seconds = now - self._stable_since
-        if not may_grant(steady_seconds, self.membership.heard_part):
+        if not may_grant(steady_seconds, self.membership.reporting_fraction):
             return 0
         return self.local_grants.grant(content)
 
