--- a/packages/sycamore-core/src/sycamore_core/platform/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/__init__.py
@@ -7,7 +7,7 @@
     TreeRank,
     digest_of,
 )
-from .bodies import pack, unpack
+from .bodies import pack_settings, unpack_settings
 from .claims import SettingsClaim
 from .http_sources import (
     HttpInstanceSource,
@@ -48,7 +48,7 @@
     'ZoneMember',
     'digest_of',
     'is_reader',
-    'pack',
+    'pack_settings',
     'rank_in_zone',
-    'unpack',
+    'unpack_settings',
 )
--- a/packages/sycamore-core/src/sycamore_core/platform/bodies.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/bodies.py
@@ -16,7 +16,7 @@
 NO_SETTINGS = SettingsBody(version=0, body=b'')
 
 
-def pack(published: PublishedSettings) -> SettingsBody:
+def pack_settings(published: PublishedSettings) -> SettingsBody:
     """Return the message that carries a tree."""
     return SettingsBody(
         version=published.version,
@@ -25,7 +25,7 @@
     )
 
 
-def unpack(message: SettingsBody) -> PublishedSettings:
+def unpack_settings(message: SettingsBody) -> PublishedSettings:
     """Return the tree that a message carries.
 
     Raises
@@ -35,7 +35,8 @@
 
     Examples
     --------
-    >>> unpack(pack(PublishedSettings(SettingsVersion(3), b'{}'))).body
+    >>> tree = PublishedSettings(SettingsVersion(3), b'{}')
+    >>> unpack_settings(pack_settings(tree)).body
     b'{}'
     """
     version = SettingsVersion(message.version)
--- a/packages/sycamore-core/src/sycamore_core/platform/keeper.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/keeper.py
@@ -17,7 +17,7 @@
 )
 from ..states import SettingsVerdict
 from ..telemetry import Gauge, Log, Metrics
-from .bodies import unpack
+from .bodies import unpack_settings
 from .claims import SettingsClaim
 from .http_sources import HttpSettingsSource
 from .peers import NoPeers, SettingsPeers
@@ -133,13 +133,13 @@
         """Return the claim to send in heartbeats and load reports."""
         return self.view.claim(self.clock.monotonic())
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Call `listener` with the settings in force and with newer ones."""
         self.listeners.append(listener)
         if self.fleet is not None:
             _notify(listener, self.fleet, self.log)
 
-    def wanted_above(self, claim: SettingsClaim) -> SettingsWanted | None:
+    def handle_claim(self, claim: SettingsClaim) -> SettingsWanted | None:
         """Handle a peer's claim; return the request to send it, if any."""
         return self.view.handle_claim(claim, self.clock.monotonic())
 
@@ -165,7 +165,7 @@
         if offered.version <= 0:
             return SettingsVerdict.OLDER
         try:
-            published = unpack(offered)
+            published = unpack_settings(offered)
         except PlatformError as error:
             self.log.warning('settings_of_peer_unreadable', reason=str(error))
             return SettingsVerdict.INVALID
@@ -176,7 +176,7 @@
         self._handle_verdict(verdict)
         return verdict
 
-    async def wait_first(self, timeout_seconds: float) -> FleetSettings:
+    async def wait_for_settings(self, timeout_seconds: float) -> FleetSettings:
         """Return the settings with which the process starts.
 
         They come from the platform or from a peer, whichever has the higher
--- a/packages/sycamore-core/src/sycamore_core/platform/tests/test_bodies.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/tests/test_bodies.py
@@ -9,21 +9,21 @@
 from ...messages import SettingsBody
 from ...states import SettingsVerdict
 from .. import MAX_SETTINGS_BYTES, PublishedSettings
-from ..bodies import pack, unpack
+from ..bodies import pack_settings, unpack_settings
 from .builders import FakeSource, make_keeper, tree
 
 
 def test_largest_allowed_tree_survives_a_round_trip() -> None:
     body = bytes(number % 256 for number in range(MAX_SETTINGS_BYTES))
     published = PublishedSettings(SettingsVersion(4), body)
-    packed = pack(published)
-    assert unpack(packed) == published
+    packed = pack_settings(published)
+    assert unpack_settings(packed) == published
     assert len(packed.body) < len(body)
 
 
 def test_tree_of_an_older_process_is_not_compressed() -> None:
     published = tree(4)
-    assert unpack(SettingsBody(4, published.body)) == published
+    assert unpack_settings(SettingsBody(4, published.body)) == published
 
 
 @pytest.mark.parametrize(
@@ -42,7 +42,7 @@
     """
     message = SettingsBody(9, body, compressed=True)
     with pytest.raises(PlatformError):
-        unpack(message)
+        unpack_settings(message)
     keeper = make_keeper(FakeSource())
     assert keeper.offer_from_peer(message) is SettingsVerdict.INVALID
     assert keeper.version == 0
@@ -50,9 +50,9 @@
 
 def test_version_is_compressed_once_for_all_peers() -> None:
     keeper = make_keeper(FakeSource())
-    keeper.offer_from_peer(pack(tree(4)))
+    keeper.offer_from_peer(pack_settings(tree(4)))
     first = keeper.body
     assert first.compressed
     assert keeper.body is first
-    keeper.offer_from_peer(pack(tree(5)))
-    assert unpack(keeper.body) == tree(5)
+    keeper.offer_from_peer(pack_settings(tree(5)))
+    assert unpack_settings(keeper.body) == tree(5)
--- a/packages/sycamore-core/src/sycamore_core/platform/tests/test_convergence.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/tests/test_convergence.py
@@ -17,7 +17,7 @@
 from ...telemetry import Metrics
 from .. import PublishedSettings, ReadSchedule, SettingsSource, TreeRank
 from ..accepted import NO_TREE
-from ..bodies import unpack
+from ..bodies import unpack_settings
 from ..view import SettingsView
 from ..watcher import SettingsWatcher
 from .builders import invalid_tree, tree
@@ -71,7 +71,7 @@
         wanted = self.view.handle_claim(other.view.claim(now), now)
         answer = other.view.answer(wanted) if wanted else None
         if answer is not None:
-            self.view.accepted.offer(unpack(answer))
+            self.view.accepted.offer(unpack_settings(answer))
             self.watcher.request_recheck()
 
 
--- a/packages/sycamore-core/src/sycamore_core/platform/tests/test_keeper.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/tests/test_keeper.py
@@ -60,7 +60,7 @@
     source = FakeSource(tree(1))
     keeper = make_keeper(source)
     seen: list[int] = []
-    keeper.listen(lambda fleet: seen.append(fleet.version))
+    keeper.add_listener(lambda fleet: seen.append(fleet.version))
     async with running(keeper):
         await wait_until(lambda: seen == [1])
         source.published = tree(2)
@@ -75,8 +75,8 @@
     source = FakeSource(tree(1))
     keeper = make_keeper(source)
     seen: list[int] = []
-    keeper.listen(lambda fleet: seen.append(1 // (fleet.version - 1)))
-    keeper.listen(lambda fleet: seen.append(fleet.version))
+    keeper.add_listener(lambda fleet: seen.append(1 // (fleet.version - 1)))
+    keeper.add_listener(lambda fleet: seen.append(fleet.version))
     async with running(keeper):
         await wait_until(lambda: seen == [1])
         source.published = tree(2)
@@ -164,7 +164,7 @@
     peers = FakePeers({'tcp://127.0.0.1:1'})
     keeper = make_keeper(FakeSource(tree(3)), peers)
     async with running(keeper):
-        waiting = asyncio.create_task(keeper.wait_first(TEST_TIMEOUT_SECONDS))
+        waiting = asyncio.create_task(keeper.wait_for_settings(TEST_TIMEOUT_SECONDS))
         await wait_until(lambda: keeper.version == 3 and bool(peers.requested))
         assert not waiting.done()
         keeper.offer_from_peer(body_of(5), 'tcp://127.0.0.1:1')
@@ -182,7 +182,7 @@
 async def dead_seed_peer_does_not_block_startup() -> None:
     keeper = make_keeper(FakeSource(tree(3)), FakePeers({'tcp://127.0.0.1:1'}))
     async with running(keeper):
-        assert (await keeper.wait_first(TEST_TIMEOUT_SECONDS)).version == 3
+        assert (await keeper.wait_for_settings(TEST_TIMEOUT_SECONDS)).version == 3
 
 
 def test_dead_seed_peer_does_not_block_startup() -> None:
@@ -199,7 +199,7 @@
     keeper = make_keeper(source, FakePeers({'tcp://127.0.0.1:1'}))
     async with running(keeper):
         keeper.offer_from_peer(body_of(4), 'tcp://127.0.0.1:1')
-        assert (await keeper.wait_first(TEST_TIMEOUT_SECONDS)).version == 4
+        assert (await keeper.wait_for_settings(TEST_TIMEOUT_SECONDS)).version == 4
         assert keeper.age == float('inf')
 
 
@@ -212,7 +212,7 @@
     async with running(keeper):
         await wait_until(lambda: keeper.view.accepted.refused is not None)
         with pytest.raises(PlatformError, match='wieght'):
-            await keeper.wait_first(0)
+            await keeper.wait_for_settings(0)
 
 
 def test_start_without_settings_fails_with_the_reason() -> None:
@@ -229,7 +229,7 @@
     left.offer_from_peer(body_of(7, 'left'))
     right.offer_from_peer(body_of(7, 'right'))
     for receiver, sender in ((left, right), (right, left)):
-        wanted = receiver.wanted_above(sender.claim)
+        wanted = receiver.handle_claim(sender.claim)
         answer = sender.answer(wanted) if wanted else None
         if answer is not None:
             receiver.offer_from_peer(answer)
@@ -241,12 +241,12 @@
     keeper = make_keeper(FakeSource(), clock=clock)
     keeper.offer_from_peer(body_of(7))
     own = keeper.view.accepted.rank
-    assert keeper.wanted_above(SettingsClaim(own)) is None
+    assert keeper.handle_claim(SettingsClaim(own)) is None
     assert keeper.age == float('inf')
-    assert keeper.wanted_above(SettingsClaim(own, 4)) is None
+    assert keeper.handle_claim(SettingsClaim(own, 4)) is None
     assert keeper.age == 5
     newer = SettingsClaim(TreeRank(own.version + 1, 0), 0)
-    assert keeper.wanted_above(newer) == SettingsWanted(above=own.version)
+    assert keeper.handle_claim(newer) == SettingsWanted(above=own.version)
     assert keeper.age == 5
 
 
--- a/packages/sycamore-core/src/sycamore_core/platform/view.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/view.py
@@ -6,7 +6,7 @@
 from ..messages import SettingsBody, SettingsWanted
 from ..states import SettingsVerdict
 from .accepted import NO_TREE, AcceptedSettings, TreeRank
-from .bodies import NO_SETTINGS, pack
+from .bodies import NO_SETTINGS, pack_settings
 from .claims import SettingsClaim
 from .sources import PublishedSettings
 
@@ -49,7 +49,7 @@
             return NO_SETTINGS
         if self._cached_rank != self.accepted.rank:
             # Many peers request the same version, so it is compressed once.
-            self._cached_body = pack(published)
+            self._cached_body = pack_settings(published)
             self._cached_rank = self.accepted.rank
         return self._cached_body
 
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/desk.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/desk.py
@@ -144,7 +144,7 @@
         """Answer a sign of life with the load."""
         peer.post(self.reporter.report(), urgent=False)
         claim = SettingsClaim.from_message(message)
-        wanted = self.reporter.keeper.wanted_above(claim)
+        wanted = self.reporter.keeper.handle_claim(claim)
         if wanted is not None:
             peer.post(wanted)
 
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
@@ -90,7 +90,7 @@
 
     async def serve_peer(self, peer: Peer) -> None:
         """Handle the messages of one peer until cancelled."""
-        await self.keeper.wait_first(self.settings.start_seconds)
+        await self.keeper.wait_for_settings(self.settings.start_seconds)
         if self.gate is not None:
             await self.gate.desk.serve(peer)
 
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/process.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/process.py
@@ -66,14 +66,14 @@
 
     async def _start_tasks(self) -> None:
         keeper = self.parts.keeper
-        keeper.listen(self.parts.take_settings)
+        keeper.add_listener(self.parts.take_settings)
         self._tasks.append(asyncio.create_task(keeper.run()))
         if self.settings.instances_url:
             source = HttpInstanceSource(self.settings.instances_url)
             watch = asyncio.create_task(self.departure.watch(source))
             self._tasks.append(watch)
         try:
-            await keeper.wait_first(self.settings.start_seconds)
+            await keeper.wait_for_settings(self.settings.start_seconds)
         except PlatformError as error:
             self.log.error('settings_missing', reason=str(error))
         gate = self.parts.gate
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/keeper.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/keeper.py
@@ -14,7 +14,7 @@
 from sycamore_core.errors import PlatformError
 from sycamore_core.ids import SettingsVersion
 from sycamore_core.messages import SettingsBody
-from sycamore_core.platform import unpack
+from sycamore_core.platform import unpack_settings
 from sycamore_core.routing import (
     EndpointDirectory,
     PublishedTable,
@@ -114,7 +114,7 @@
     def apply_peer_table(self, body: SettingsBody) -> None:
         """Apply the configuration of a peer if it is newer."""
         try:
-            published = self.feed.read_table(unpack(body).body)
+            published = self.feed.read_table(unpack_settings(body).body)
         except PlatformError as error:
             self.log.warning('table_of_peer_unreadable', reason=str(error))
             return
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/newer_settings.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/newer_settings.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from sycamore_core.messages import SettingsBody, SettingsWanted
-from sycamore_core.platform import PublishedSettings, pack
+from sycamore_core.platform import PublishedSettings, pack_settings
 from sycamore_core.transport import Peer
 
 from ..fleet.keeper import FleetKeeper
@@ -43,7 +43,7 @@
         if published is None or self.keeper.version <= wanted.above:
             return
         settings = PublishedSettings(self.keeper.version, published.source)
-        peer.post(pack(settings))
+        peer.post(pack_settings(settings))
 
     def apply(self, peer: Peer, body: SettingsBody) -> None:
         """Apply a configuration that a peer has sent."""
--- a/packages/sycamore-entry/src/sycamore_entry/peers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/peers.py
@@ -62,7 +62,7 @@
 
     def _handle_load_report(self, peer: Peer, report: LoadReport) -> None:
         self.context.links.take_report(report)
-        wanted = self.keeper.wanted_above(SettingsClaim.from_message(report))
+        wanted = self.keeper.handle_claim(SettingsClaim.from_message(report))
         if wanted is not None:
             peer.post(wanted)
 
--- a/packages/sycamore-entry/src/sycamore_entry/process.py
+++ b/packages/sycamore-entry/src/sycamore_entry/process.py
@@ -74,13 +74,13 @@
         keeper = self.components.keeper
         self._tasks.append(asyncio.create_task(keeper.run()))
         try:
-            await keeper.wait_first(self.settings.start_seconds)
+            await keeper.wait_for_settings(self.settings.start_seconds)
         except PlatformError as error:
             # The process cannot serve without settings, but the platform may
             # recover. The process stays alive, reports that it is not ready
             # and logs the reason.
             self.log.error('settings_missing', reason=str(error))
-        keeper.listen(self.components.apply_settings)
+        keeper.add_listener(self.components.apply_settings)
         context = self.components.context
         self._tasks.append(asyncio.create_task(context.links.run()))
         self._tasks.append(asyncio.create_task(Dispatcher(context).run()))
