--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -51,7 +51,7 @@
 )
 from sycamore_core.states import EndpointPhase
 from sycamore_core.transport import Node, NodeAddress, Peer
-from sycamore_entry.fleet import EndpointLinks, LinkEvents
+from sycamore_entry.fleet import EndpointLinks, LinkListener
 
 KEYS = PeerKeys({KeyId('k'): b'k' * 16}, KeyId('k'))
 ZONE = ZoneId('a')
@@ -120,7 +120,7 @@
                 peer.post(self.report, urgent=False)
 
 
-class Ignored(LinkEvents):
+class Ignored(LinkListener):
     """Takes the events of the links and does nothing."""
 
     def endpoint_reported(self, view: EndpointView) -> None:
@@ -183,7 +183,7 @@
     links.update(fleet_on(ports), node)
     beating = asyncio.create_task(links.run())
     await asyncio.sleep(SETTLE_SECONDS)
-    heard = sum(link.is_heard for link in links.links.values())
+    heard = sum(link.is_reporting for link in links.links.values())
     processor = time.process_time()
     octets = node.counts.sent_bytes + node.counts.received_bytes
     await asyncio.sleep(MEASURE_SECONDS)
@@ -207,7 +207,7 @@
         while True:
             message: Message = await peer.inbound.get()
             if isinstance(message, LoadReport):
-                self.links.take_report(message)
+                self.links.apply_report(message)
 
 
 @app.command()
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/stream.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/stream.py
@@ -112,7 +112,7 @@
         )
 
     def _request_resend(self, waited: float) -> None:
-        if not self.link.is_heard:
+        if not self.link.is_reporting:
             self._silent_seconds += waited
         if self._silent_seconds > SILENCE_TIMEOUT_SECONDS:
             raise AnswerLostError(self.link.endpoint)
--- a/packages/sycamore-entry/src/sycamore_entry/fleet/link.py
+++ b/packages/sycamore-entry/src/sycamore_entry/fleet/link.py
@@ -37,7 +37,7 @@
     )
 
     @property
-    def is_heard(self) -> bool:
+    def is_reporting(self) -> bool:
         """Whether the endpoint has reported and is not silent."""
         return self.report is not None
 
@@ -64,7 +64,7 @@
         instance whose clock is behind also has a lower incarnation. Its
         reports are accepted once the earlier process is silent.
         """
-        return self.is_heard and report.incarnation < self.incarnation
+        return self.is_reporting and report.incarnation < self.incarnation
 
     def shows_restart(self, report: LoadReport) -> bool:
         """Return whether a report comes from another incarnation."""
--- a/packages/sycamore-entry/src/sycamore_entry/fleet/links.py
+++ b/packages/sycamore-entry/src/sycamore_entry/fleet/links.py
@@ -36,7 +36,7 @@
 FIRST_REPORT_TIMEOUT_SECONDS = 1.0
 
 
-class LinkEvents(abc.ABC):
+class LinkListener(abc.ABC):
     """Callbacks for changes in the state of the links."""
 
     @abc.abstractmethod
@@ -72,7 +72,7 @@
         entry: EntryId,
         zone: ZoneId,
         clock: Clock,
-        events: LinkEvents,
+        events: LinkListener,
         claim: Callable[[], SettingsClaim],
     ) -> None:
         self.entry = entry
@@ -118,12 +118,12 @@
         waited = self.clock.monotonic() - self._first_update_at
         if waited > SILENCE_INTERVALS * self.heartbeat_interval:
             return True
-        return all(link.is_heard for link in self.links.values())
+        return all(link.is_reporting for link in self.links.values())
 
     def find(self, endpoint: EndpointId) -> EndpointLink | None:
         """Return the link of an endpoint that is not silent, or None."""
         link = self.links.get(endpoint)
-        if link is None or not link.is_heard:
+        if link is None or not link.is_reporting:
             return None
         return link
 
@@ -159,7 +159,7 @@
         endpoint = self._addresses.get(address)
         return None if endpoint is None else self.links.get(endpoint)
 
-    def take_report(self, report: LoadReport) -> None:
+    def apply_report(self, report: LoadReport) -> None:
         """Apply a report, and signal a restart that the report shows."""
         link = self.links.get(report.endpoint)
         if link is None or link.is_outdated(report):
@@ -187,16 +187,16 @@
         """Send one heartbeat to each endpoint and detect silent endpoints."""
         now = self.clock.monotonic()
         oldest_allowed = now - SILENCE_INTERVALS * self.heartbeat_interval
-        self._send_heartbeat((*self.links.values(), *self.retired))
+        self._post_heartbeat((*self.links.values(), *self.retired))
         for link in tuple(self.links.values()):
-            if link.is_heard and link.reported_at < oldest_allowed:
+            if link.is_reporting and link.reported_at < oldest_allowed:
                 link.mark_silent()
                 self.events.endpoint_lost(link.endpoint, restarted=False)
             if 0 < link.keep_until < now:
                 self._retire(link)
         self._close_retired()
 
-    def _send_heartbeat(self, links: Iterable[EndpointLink]) -> None:
+    def _post_heartbeat(self, links: Iterable[EndpointLink]) -> None:
         claim = self.claim()
         heartbeat = Heartbeat(
             entry=self.entry,
@@ -229,7 +229,7 @@
             return None
         link = self._ensure_link(known, self._node)
         link.keep_until = self.clock.monotonic() + ON_DEMAND_LINK_SECONDS
-        self._send_heartbeat((link,))
+        self._post_heartbeat((link,))
         return link
 
     def _ensure_link(
--- a/packages/sycamore-entry/src/sycamore_entry/fleet/tests/test_links.py
+++ b/packages/sycamore-entry/src/sycamore_entry/fleet/tests/test_links.py
@@ -19,7 +19,7 @@
 from sycamore_core.states import EndpointPhase
 from sycamore_core.transport import Node
 
-from .. import EndpointLinks, LinkEvents
+from .. import EndpointLinks, LinkListener
 from ..links import (
     MAX_HEARTBEATS_PER_SECOND,
     MIN_HEARTBEAT_INTERVAL_SECONDS,
@@ -55,7 +55,7 @@
         self.forgotten.append(address)
 
 
-class RecordingListener(LinkEvents):
+class RecordingListener(LinkListener):
     def __init__(self) -> None:
         self.views: list[EndpointView] = []
         self.lost: list[tuple[EndpointId, bool]] = []
@@ -95,7 +95,7 @@
         self.links.update(fleet, cast(Node, self.node))
 
     def report(self, incarnation: int = 1) -> None:
-        self.links.take_report(
+        self.links.apply_report(
             LoadReport(
                 endpoint=MODEL,
                 service=ServiceId('chat'),
--- a/packages/sycamore-entry/src/sycamore_entry/peers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/peers.py
@@ -18,7 +18,7 @@
 from sycamore_core.transport import Peer
 
 from .exchanges import EndpointLost, EntryContext
-from .fleet import LinkEvents
+from .fleet import LinkListener
 from .reservations import Reservations
 
 _REQUEST_MESSAGES = (Accepted, Declined, Frame)
@@ -61,7 +61,7 @@
             self.context.registry.deliver(report.request_id, located)
 
     def _handle_load_report(self, peer: Peer, report: LoadReport) -> None:
-        self.context.links.take_report(report)
+        self.context.links.apply_report(report)
         wanted = self.keeper.handle_claim(SettingsClaim.from_message(report))
         if wanted is not None:
             peer.post(wanted)
@@ -75,7 +75,7 @@
                 peer.post(body)
 
 
-class LinkEventHandler(LinkEvents):
+class LinkEventHandler(LinkListener):
     """Forwards changes of the links to the scheduler and the exchanges."""
 
     context: EntryContext
