--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/__init__.py
@@ -15,8 +15,8 @@
 from .failures import FailureTracker
 from .isolation import is_isolated
 from .load_registry import (
-    STALE_SECONDS,
     FULL_UPDATE_SECONDS,
+    STALE_SECONDS,
     LoadRegistry,
 )
 from .overdue import is_overdue
@@ -29,11 +29,11 @@
 from .retry_allowance import RetryBudgetLimit, SharedRetryBudget
 from .return_times import (
     CallerTime,
+    after_backoff,
     after_full,
-    after_quarantine,
     after_limit,
     after_overload,
-    after_backoff,
+    after_quarantine,
     after_start,
     with_jitter,
 )
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/asked_rests.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/asked_rests.py
@@ -147,7 +147,9 @@
     def _prune(self, now: float) -> None:
         """Drop the backoffs that are over; if there is none, the oldest."""
         expired = [
-            endpoint for endpoint in self.backoffs if self.accepts(endpoint, now)
+            endpoint
+            for endpoint in self.backoffs
+            if self.accepts(endpoint, now)
         ]
         for endpoint in expired or tuple(self.backoffs)[:1]:
             self.backoffs.pop(endpoint)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/attempts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/attempts.py
@@ -133,7 +133,9 @@
     """
     may_run_again = kind.is_idempotent and attempts.may_have_run < max_attempts
     none_ran = attempts.may_have_run == 0
-    can_continue = kind == RouteKind.RESUMABLE_STREAM or not attempts.answer_has_begun
+    can_continue = (
+        kind == RouteKind.RESUMABLE_STREAM or not attempts.answer_has_begun
+    )
     if may_retry and can_continue and (may_run_again or none_ran):
         return NextStep.RETRY
     if attempts.answer_has_begun:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/load_registry.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/load_registry.py
@@ -207,7 +207,9 @@
         for endpoint in previous.engines:
             self.cell_loads.pop(endpoint, None)
         self.cell_loads.update(busy)
-        self.cells[zone] = CellRecord(now, short_requests_per_s, frozenset(busy))
+        self.cells[zone] = CellRecord(
+            now, short_requests_per_s, frozenset(busy)
+        )
 
     def predicted_demand(
         self, now: float, *, everywhere: bool = False
@@ -228,7 +230,8 @@
             if now - source.reported_at < STALE_SECONDS
         ]
         return PredictedDemand(
-            short_requests_per_s=self.short_requests.rate(now) + sum(reported_rates),
+            short_requests_per_s=self.short_requests.rate(now)
+            + sum(reported_rates),
             slot_seconds=self.short_requests.slot_seconds,
         )
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/pressure.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/pressure.py
@@ -59,7 +59,9 @@
         30
         """
         released = busy_slots * min(1, seconds / self.slot_seconds)
-        return max(0, self.short_requests_per_s * seconds - free_slots - released)
+        return max(
+            0, self.short_requests_per_s * seconds - free_slots - released
+        )
 
 
 class ShortRequestMeter:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/quarantine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/quarantine.py
@@ -177,7 +177,9 @@
         self.record_trial(content, number, now)
         return number
 
-    def record_trial(self, content: ContentDigest, number: int, now: float) -> None:
+    def record_trial(
+        self, content: ContentDigest, number: int, now: float
+    ) -> None:
         """Record a trial of a content by its number."""
         record = self.book.records.get(content)
         if record is not None:
@@ -205,4 +207,7 @@
 def _short_quarantine_seconds(crashes: int) -> float:
     """Return the quarantine of a content that may be a bystander."""
     further = max(0, crashes - MAX_CRASHES_ALLOWED - 1)
-    return min(QUARANTINE_SECONDS, SHORT_QUARANTINE_SECONDS * _QUARANTINE_GROWTH**further)
+    return min(
+        QUARANTINE_SECONDS,
+        SHORT_QUARANTINE_SECONDS * _QUARANTINE_GROWTH**further,
+    )
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/rate_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/rate_limits.py
@@ -27,7 +27,12 @@
 from ...hashes import stable_part
 from ...ids import EndpointId, EntryId, PeerId
 from ...routing import EndpointLifetime, LimitReport
-from .recent_sends import AGE_BUCKET_SECONDS, AGE_BUCKETS, PeerSends, RecentSends
+from .recent_sends import (
+    AGE_BUCKET_SECONDS,
+    AGE_BUCKETS,
+    PeerSends,
+    RecentSends,
+)
 
 #: How long a limit is valid without a further answer that repeats it, in
 #: seconds. An endpoint in use repeats the limit in each answer.
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/recent_sends.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/recent_sends.py
@@ -46,7 +46,9 @@
         """Return the number of requests sent after a time."""
         return sum(at > begin for at in self.times.get(endpoint, ()))
 
-    def counts_by_age(self, endpoint: EndpointLifetime, now: float) -> list[int]:
+    def counts_by_age(
+        self, endpoint: EndpointLifetime, now: float
+    ) -> list[int]:
         """Return the number of sent requests in each age bucket."""
         counts = Counter(
             int((now - at) / AGE_BUCKET_SECONDS)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/suspect_places.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/suspect_places.py
@@ -55,7 +55,9 @@
         if not counts:
             self.by_endpoint.pop(endpoint)
 
-    def endpoints_with_any(self, requests: Set[ContentDigest]) -> set[EndpointId]:
+    def endpoints_with_any(
+        self, requests: Set[ContentDigest]
+    ) -> set[EndpointId]:
         """Return the endpoints at which any of the requests is in progress."""
         return {
             endpoint
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders.py
@@ -54,7 +54,9 @@
     """Return an engine that reads a part of a long prompt."""
     return engine(
         number,
-        unread=(UnreadPrompt(key, weight, done_ms, 0, slack_ms, is_ahead=True),),
+        unread=(
+            UnreadPrompt(key, weight, done_ms, 0, slack_ms, is_ahead=True),
+        ),
     )
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_trials.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_trials.py
@@ -155,7 +155,9 @@
         now: float,
     ) -> Callable[[], None]:
         def send_request() -> None:
-            is_quarantined = self.quarantines[entry].is_quarantined(content, now)
+            is_quarantined = self.quarantines[entry].is_quarantined(
+                content, now
+            )
             if is_quarantined or not self.policy.may_send(entry, content, now):
                 self._refuse(content, now)
             elif content == CRASHING:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_asked_rests.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_asked_rests.py
@@ -2,7 +2,11 @@
 
 import pytest
 
-from ..asked_rests import MAX_BACKOFF_SECONDS, PROBE_TIMEOUT_SECONDS, RequestedBackoffs
+from ..asked_rests import (
+    MAX_BACKOFF_SECONDS,
+    PROBE_TIMEOUT_SECONDS,
+    RequestedBackoffs,
+)
 from .builders_limits import lifetime
 from .builders_rests import (
     MAX_WITHIN_BACKOFF,
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_asked_rests_machine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_asked_rests_machine.py
@@ -64,7 +64,9 @@
     def remaining_time_agrees_with_accepts(self) -> None:
         for index in range(3):
             left = self.backoffs.seconds_left(lifetime(index), self.now)
-            assert (left <= 0) == self.backoffs.accepts(lifetime(index), self.now)
+            assert (left <= 0) == self.backoffs.accepts(
+                lifetime(index), self.now
+            )
 
 
 TestRequestedBackoffs = BackoffMachine.TestCase
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_attempts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_attempts.py
@@ -32,7 +32,9 @@
         log.begin()
         log.record(end)
         has_run = end in {AttemptEnd.BROKEN, AttemptEnd.SILENT}
-        log.answer_has_begun = log.answer_has_begun or (has_run and number >= begins_with)
+        log.answer_has_begun = log.answer_has_begun or (
+            has_run and number >= begins_with
+        )
         step = next_step(
             kind,
             end,
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_failures.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_failures.py
@@ -42,7 +42,9 @@
     tracker = FailureTracker()
     tracker.record_activity(ENGINE, now=10)
     tracker.handle_report([ENGINE], now=10 + RECENT_ACTIVITY_SECONDS / 2)
-    assert not tracker.is_backing_off(ENGINE, 10.1 + RECENT_ACTIVITY_SECONDS / 2)
+    assert not tracker.is_backing_off(
+        ENGINE, 10.1 + RECENT_ACTIVITY_SECONDS / 2
+    )
 
 
 def test_partitioned_entry_reports_no_endpoints() -> None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_loads.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_loads.py
@@ -127,18 +127,27 @@
     prefer these engines long after their load has changed.
     """
     registry = LoadRegistry()
-    registry.apply_cell_summary(OTHER_ZONE, [share(requests=5)], now=10, short_requests_per_s=40)
+    registry.apply_cell_summary(
+        OTHER_ZONE, [share(requests=5)], now=10, short_requests_per_s=40
+    )
     now = 10.1 + STALE_SECONDS
     assert registry.load(ENGINE, now) == EngineLoad()
-    assert not registry.predicted_demand(now, everywhere=True).short_requests_per_s
+    assert not registry.predicted_demand(
+        now, everywhere=True
+    ).short_requests_per_s
 
 
 def test_demand_of_other_cells_is_included_on_request() -> None:
     registry = LoadRegistry()
-    registry.apply_update(PEER, [], now=10, is_full=True, short_requests_per_s=5)
+    registry.apply_update(
+        PEER, [], now=10, is_full=True, short_requests_per_s=5
+    )
     registry.apply_cell_summary(OTHER_ZONE, [], now=10, short_requests_per_s=40)
     assert registry.predicted_demand(10).short_requests_per_s == 5
-    assert registry.predicted_demand(10, everywhere=True).short_requests_per_s == 45
+    assert (
+        registry.predicted_demand(10, everywhere=True).short_requests_per_s
+        == 45
+    )
 
 
 def test_cell_shares_group_streams_by_pause() -> None:
@@ -148,10 +157,14 @@
         work = {ENGINE: Assignment(read_ms=10, pause_ms=pause_ms)}
         registry.begin(request, work, now=10)
         registry.record_first_token(request, [ENGINE])
-    registry.apply_update(PEER, registry.own_shares([ENGINE], 10), now=10, is_full=True)
+    registry.apply_update(
+        PEER, registry.own_shares([ENGINE], 10), now=10, is_full=True
+    )
     load = registry.cell_shares([ENGINE], 10, OTHER_PEER)[0].load
     assert load.requests == 6
-    weights = {promise.pause_ms: promise.weight for promise in load.pause_objectives}
+    weights = {
+        promise.pause_ms: promise.weight for promise in load.pause_objectives
+    }
     assert weights == {250: 4, 800: 2}
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_pass_forecast.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_pass_forecast.py
@@ -140,8 +140,12 @@
 
     A pause of the audit costs the operator sixteen times as much.
     """
-    audit = engine(1, requests=1, writers=1, pause_objectives=(PauseObjective(1000, 21),))
-    guest = engine(2, requests=1, writers=1, pause_objectives=(PauseObjective(250, 1),))
+    audit = engine(
+        1, requests=1, writers=1, pause_objectives=(PauseObjective(1000, 21),)
+    )
+    guest = engine(
+        2, requests=1, writers=1, pause_objectives=(PauseObjective(250, 1),)
+    )
     interferences = [
         EngineInterference(one, COSTS, 200_000) for one in (audit, guest)
     ]
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine.py
@@ -109,8 +109,12 @@
     for number in range(3):
         crash(quarantine, f'e{number}', 10)
         crash(quarantine, f'e{number}', 10, BYSTANDER)
-    assert quarantine.is_quarantined(BYSTANDER, 10 + SHORT_QUARANTINE_SECONDS / 2)
-    assert not quarantine.is_quarantined(BYSTANDER, 10 + SHORT_QUARANTINE_SECONDS)
+    assert quarantine.is_quarantined(
+        BYSTANDER, 10 + SHORT_QUARANTINE_SECONDS / 2
+    )
+    assert not quarantine.is_quarantined(
+        BYSTANDER, 10 + SHORT_QUARANTINE_SECONDS
+    )
     quarantine.record_answer(BYSTANDER, 11 + SHORT_QUARANTINE_SECONDS)
     assert quarantine.is_quarantined(CRASHING, 11 + SHORT_QUARANTINE_SECONDS)
 
@@ -123,7 +127,9 @@
     crash(quarantine, 'e1', 10)
     crash(quarantine, 'e1', 10, BYSTANDER)
     crash(quarantine, 'e2', 11, BYSTANDER)
-    assert not quarantine.is_quarantined(BYSTANDER, 11 + SHORT_QUARANTINE_SECONDS)
+    assert not quarantine.is_quarantined(
+        BYSTANDER, 11 + SHORT_QUARANTINE_SECONDS
+    )
 
 
 def test_quarantine_grows_with_each_crash_after_it() -> None:
@@ -162,7 +168,9 @@
     first, second = Quarantine(), Quarantine()
     crash(first, 'e1', 10)
     crash(second, 'e2', 11)
-    assert second.handle_reports(first.book.recent_reports(11), 11) == [CRASHING]
+    assert second.handle_reports(first.book.recent_reports(11), 11) == [
+        CRASHING
+    ]
     assert not second.handle_reports(first.book.recent_reports(11.1), 11.1)
 
 
@@ -235,7 +243,9 @@
 @pytest.mark.parametrize('age', [QUARANTINE_SECONDS, 1e9])
 def test_report_that_is_too_old_is_ignored(age: float) -> None:
     quarantine = Quarantine()
-    quarantine.handle_reports([CrashReport(CRASHING, lifetime_of('e1'), age)], 10)
+    quarantine.handle_reports(
+        [CrashReport(CRASHING, lifetime_of('e1'), age)], 10
+    )
     assert not quarantine.book.records
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine_machine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine_machine.py
@@ -95,7 +95,9 @@
         for quarantine in self.quarantines:
             for content, crashes in self.crashes.items():
                 assert quarantine.crash_count(content) <= crashes
-                assert crashes > 1 or not quarantine.is_quarantined(content, self.now)
+                assert crashes > 1 or not quarantine.is_quarantined(
+                    content, self.now
+                )
 
 
 TestQuarantine = QuarantineMachine.TestCase
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
@@ -66,7 +66,9 @@
 
 def test_no_helper_is_given_more_than_its_memory() -> None:
     plan = plan_for(long_request(LARGEST), idle_engines(18))
-    assert max(tokens for _, tokens in plan.helper_tokens) <= COSTS.memory_tokens
+    assert (
+        max(tokens for _, tokens in plan.helper_tokens) <= COSTS.memory_tokens
+    )
 
 
 def test_short_requests_are_packed_and_not_split() -> None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_trials.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_trials.py
@@ -124,7 +124,9 @@
     first, second = after_three_crashes(), after_three_crashes()
     first.grant_trial(BYSTANDER, QUARANTINE_END)
     first.record_answer(BYSTANDER, QUARANTINE_END + 1)
-    second.handle_reports(first.book.recent_reports(QUARANTINE_END + 1), QUARANTINE_END + 1)
+    second.handle_reports(
+        first.book.recent_reports(QUARANTINE_END + 1), QUARANTINE_END + 1
+    )
     assert not second.is_quarantined(BYSTANDER, QUARANTINE_END + 1)
     assert not second.is_in_doubt(BYSTANDER, QUARANTINE_END + 1)
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_update_pace.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_update_pace.py
@@ -3,7 +3,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ..update_pace import MAX_UPDATES_PER_S, UPDATE_INTERVAL_SECONDS, UpdateRateLimit
+from ..update_pace import (
+    MAX_UPDATES_PER_S,
+    UPDATE_INTERVAL_SECONDS,
+    UpdateRateLimit,
+)
 
 PEERS = 25
 SECONDS = 10
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/update_pace.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/update_pace.py
@@ -57,7 +57,9 @@
 
     def regular_wait_seconds(self, now: float) -> float:
         """Return the time until the next regular update, in seconds."""
-        due = max(self._sent_at + UPDATE_INTERVAL_SECONDS, self._within_limit_at)
+        due = max(
+            self._sent_at + UPDATE_INTERVAL_SECONDS, self._within_limit_at
+        )
         return max(0, round(due - now, 6))
 
     def urgent_wait_seconds(self, peers: int, now: float) -> float:
--- a/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
@@ -212,7 +212,10 @@
         at random do so in about one of five draws. This raises the p95 of the
         time to first token of short requests.
         """
-        if chosen.reason not in _PREFIX_FREE_REASONS or not pool.open_without_long:
+        if (
+            chosen.reason not in _PREFIX_FREE_REASONS
+            or not pool.open_without_long
+        ):
             return False
         return pool.open_without_long.find(chosen.endpoint) is None
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/endpoint_book.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/endpoint_book.py
@@ -157,7 +157,9 @@
             return
         if not sent.members:
             record.candidate.record_first_token(seconds, sent.tokens_ahead)
-        expected = PREFILL_WINDOW_SECONDS + sent.new_tokens / record.candidate.rate
+        expected = (
+            PREFILL_WINDOW_SECONDS + sent.new_tokens / record.candidate.rate
+        )
         self._observe(
             sent,
             Observation(
@@ -176,7 +178,9 @@
             record.candidate.remove_request(request, sent.lease_tokens)
             self._refresh(record)
 
-    def record_finished(self, sent: SentRequest, outcome: Outcome, now: float) -> None:
+    def record_finished(
+        self, sent: SentRequest, outcome: Outcome, now: float
+    ) -> None:
         """Update health and speed estimates from the end of an answer."""
         record = self.records.get(sent.endpoint)
         if sent.first_token_at is None or outcome == Outcome.FAILED:
@@ -206,7 +210,9 @@
         return [
             record
             for record in self._records_of(sent)
-            if any(record.candidate is holder for holder in sent.charged_candidates)
+            if any(
+                record.candidate is holder for holder in sent.charged_candidates
+            )
         ]
 
     def _records_of(self, sent: SentRequest) -> Iterable[_EndpointRecord]:
--- a/packages/sycamore-core/src/sycamore_core/decisions/estimates.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/estimates.py
@@ -79,7 +79,9 @@
             decayed = self.prefill_rate * (1 - DECAY_PER_REPORT)
             self.prefill_rate = max(decayed, view.saturated_rate)
         if view.step_seconds > 0:
-            self.step_seconds = _moving_average(self.step_seconds, view.step_seconds)
+            self.step_seconds = _moving_average(
+                self.step_seconds, view.step_seconds
+            )
             self._apply_step(view)
 
     def record_output(self, request: RequestView, tokens: float) -> None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/group_reservation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/group_reservation.py
@@ -140,7 +140,9 @@
         ):
             self._fail(ReservationFailure.LEASE_LOST, now)
         elif member.state == GroupMemberState.REQUESTED:
-            member.record_decline(now + max(answer.retry_after, RESEND_INTERVAL_SECONDS))
+            member.record_decline(
+                now + max(answer.retry_after, RESEND_INTERVAL_SECONDS)
+            )
         self._update_state(now)
 
     def release(self, now: float) -> None:
@@ -219,7 +221,9 @@
         outgoing = []
         for member in self._members_to_send():
             if member.next_send_at <= now:
-                member.record_release(now + RESEND_INTERVAL_SECONDS, RELEASE_SENDS)
+                member.record_release(
+                    now + RESEND_INTERVAL_SECONDS, RELEASE_SENDS
+                )
                 message = GroupRelease(group=self.group)
                 outgoing.append(Outgoing(member.endpoint, message))
         return outgoing
--- a/packages/sycamore-core/src/sycamore_core/decisions/least_loaded.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/least_loaded.py
@@ -44,7 +44,9 @@
             return _no_endpoint(PlacementReason.MEMORY_FULL)
         sampled = _sample(candidates.open_without_long or candidates.open, draw)
         fitting = [
-            candidate for candidate in sampled if candidate.has_capacity(request)
+            candidate
+            for candidate in sampled
+            if candidate.has_capacity(request)
         ]
         if not fitting and request.band != PromptBand.SHORT:
             fitting = [
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_placement.py
@@ -168,7 +168,9 @@
             self.next_report += self.interval
         placement, pool = self.entries[int(draw() * len(self.entries))]
         decision = placement.place(arrival.request, pool, arrival.at, draw)
-        pool.record_send(decision.endpoint, arrival.request, decision.new_tokens)
+        pool.record_send(
+            decision.endpoint, arrival.request, decision.new_tokens
+        )
         done = self.engines[decision.endpoint].run(arrival.request, arrival.at)
         return done - arrival.at
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
@@ -240,7 +240,9 @@
     first = leader.due(0)[0]
     assert isinstance(first.message, GroupReserve)
     answer = network.members['e1'].handle(first.message, 0)
-    leader.handle_answer('e1', type(answer)(group='g0', span=0, granted=True), 2)
+    leader.handle_answer(
+        'e1', type(answer)(group='g0', span=0, granted=True), 2
+    )
     assert leader.members[0].lease_expires_at == LEASE_SECONDS
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_long_prompts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_long_prompts.py
@@ -70,8 +70,12 @@
     requests.
     """
     pool = build_pool(3)
-    assert short_capacity_share(build_long(800_000), pool) == SHORT_RESERVED_SHARE
-    assert short_capacity_share(build_long(1_000_000), pool) == MIN_RESERVED_SHARE
+    assert (
+        short_capacity_share(build_long(800_000), pool) == SHORT_RESERVED_SHARE
+    )
+    assert (
+        short_capacity_share(build_long(1_000_000), pool) == MIN_RESERVED_SHARE
+    )
     assert plan(1_000_000, pool).reason == GroupReason.FORMED
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
@@ -170,7 +170,9 @@
         steps = EXPECTED_STEPS * self.view.step_seconds
         if steps:
             delay_seconds = seconds - steps - tokens_ahead / self.rate
-            self.batch_limit.record_first_token(delay_seconds, self.request_count)
+            self.batch_limit.record_first_token(
+                delay_seconds, self.request_count
+            )
 
     def remove_request(self, request: RequestView, lease_tokens: int) -> None:
         """Record that a request is no longer at the endpoint."""
@@ -217,7 +219,9 @@
         is_open = candidate.is_open(PromptBand.SHORT)
         _set_membership(self.open, candidate, is_member=is_open)
         _set_membership(
-            self.open_without_long, candidate, is_member=is_open and candidate.has_no_long_prompt
+            self.open_without_long,
+            candidate,
+            is_member=is_open and candidate.has_no_long_prompt,
         )
 
     def remove_everywhere(self, endpoint: EndpointId) -> None:
--- a/packages/sycamore-core/src/sycamore_core/membership/members.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/members.py
@@ -164,7 +164,9 @@
                     last_seen_at=now,
                 )
 
-    def confirm(self, zone: ZoneId, addresses: Iterable[str], now: float) -> None:
+    def confirm(
+        self, zone: ZoneId, addresses: Iterable[str], now: float
+    ) -> None:
         """Confirm entries of another cell that one of its members reported."""
         reported = tuple(addresses)
         self.add(zone, reported, now)
--- a/packages/sycamore-core/src/sycamore_core/messages/tests/test_compression.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/tests/test_compression.py
@@ -7,7 +7,13 @@
 from ...errors import CodecError
 from ...ids import EndpointId, EntryId, ZoneId
 from ...routing import EngineLoad, EngineShare, UnreadPrompt
-from .. import CompressedMessage, LoadUpdate, SettingsWanted, compress, decompress
+from .. import (
+    CompressedMessage,
+    LoadUpdate,
+    SettingsWanted,
+    compress,
+    decompress,
+)
 from ..compression import MAX_MESSAGE_BYTES
 from ..union import encode_message
 
@@ -22,7 +28,9 @@
 
 def split_over(engines: int) -> LoadUpdate:
     """Return the update about a prompt that several engines read."""
-    part = UnreadPrompt('9f87ce33', 87.3, 2147.234, 1.734, 3984.13, is_ahead=True)
+    part = UnreadPrompt(
+        '9f87ce33', 87.3, 2147.234, 1.734, 3984.13, is_ahead=True
+    )
     load = EngineLoad(unread=(part,))
     return LoadUpdate(
         EntryId('entry-1'),
--- a/packages/sycamore-core/src/sycamore_core/platform/tests/test_keeper.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/tests/test_keeper.py
@@ -164,7 +164,9 @@
     peers = FakePeers({'tcp://127.0.0.1:1'})
     keeper = make_keeper(FakeSource(tree(3)), peers)
     async with running(keeper):
-        waiting = asyncio.create_task(keeper.wait_for_settings(TEST_TIMEOUT_SECONDS))
+        waiting = asyncio.create_task(
+            keeper.wait_for_settings(TEST_TIMEOUT_SECONDS)
+        )
         await wait_until(lambda: keeper.version == 3 and bool(peers.requested))
         assert not waiting.done()
         keeper.offer_from_peer(body_of(5), 'tcp://127.0.0.1:1')
@@ -182,7 +184,9 @@
 async def dead_seed_peer_does_not_block_startup() -> None:
     keeper = make_keeper(FakeSource(tree(3)), FakePeers({'tcp://127.0.0.1:1'}))
     async with running(keeper):
-        assert (await keeper.wait_for_settings(TEST_TIMEOUT_SECONDS)).version == 3
+        assert (
+            await keeper.wait_for_settings(TEST_TIMEOUT_SECONDS)
+        ).version == 3
 
 
 def test_dead_seed_peer_does_not_block_startup() -> None:
@@ -199,7 +203,9 @@
     keeper = make_keeper(source, FakePeers({'tcp://127.0.0.1:1'}))
     async with running(keeper):
         keeper.offer_from_peer(body_of(4), 'tcp://127.0.0.1:1')
-        assert (await keeper.wait_for_settings(TEST_TIMEOUT_SECONDS)).version == 4
+        assert (
+            await keeper.wait_for_settings(TEST_TIMEOUT_SECONDS)
+        ).version == 4
         assert keeper.age == float('inf')
 
 
--- a/packages/sycamore-core/src/sycamore_core/routing/loads.py
+++ b/packages/sycamore-core/src/sycamore_core/routing/loads.py
@@ -125,7 +125,10 @@
         self.context_tokens += other.context_tokens
         self.memory_tokens += other.memory_tokens
         if other.pause_objectives:
-            self.pause_objectives = (*self.pause_objectives, *other.pause_objectives)
+            self.pause_objectives = (
+                *self.pause_objectives,
+                *other.pause_objectives,
+            )
         if other.unread:
             aged = [one.aged_by(age * _MS_PER_SECOND) for one in other.unread]
             self.unread = (*self.unread, *aged)
--- a/packages/sycamore-core/src/sycamore_core/transport/tests/test_node.py
+++ b/packages/sycamore-core/src/sycamore_core/transport/tests/test_node.py
@@ -88,7 +88,10 @@
     peer = Peer('tcp://127.0.0.1:1', node.codec, node.clock, node.counts)
     peer.enqueue_received(SettingsWanted(1), sent_at=3)
     peer.enqueue_received(SettingsWanted(2), sent_at=4)
-    return [(await peer.next_message()).sent_at, (await peer.next_message()).sent_at]
+    return [
+        (await peer.next_message()).sent_at,
+        (await peer.next_message()).sent_at,
+    ]
 
 
 def test_message_is_received_with_its_send_time() -> None:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/__init__.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/__init__.py
@@ -22,13 +22,13 @@
 from .process import ForwardingProcess
 from .settings import ForwardingSettings
 from .wire import (
+    AnnouncedLimit,
     AnswerHead,
-    RequestedBackoff,
     CallTerms,
     Helper,
-    AnnouncedLimit,
     Order,
     OutgoingTerms,
+    RequestedBackoff,
     WireFormat,
 )
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
@@ -112,7 +112,9 @@
     async def _attempt_until_answered(self, call: AdmittedRequest) -> None:
         relay = AnswerRelay(self.answer, call.route, self._record_first_event)
         placer = Placer(self.context, call)
-        self.context.allowance(call.service.service).record_first_attempt(self._now())
+        self.context.allowance(call.service.service).record_first_attempt(
+            self._now()
+        )
         if call.service.engine is not None:
             dispatcher = self.context.dispatcher
             dispatcher.record_arrival(
@@ -252,7 +254,9 @@
         allowance = self.context.allowance(call.service.service)
         # Without a connection, nothing reached an endpoint. Another attempt
         # does not count as a retry then.
-        if not end.was_sent or allowance.try_acquire(now, self.context.entry_count):
+        if not end.was_sent or allowance.try_acquire(
+            now, self.context.entry_count
+        ):
             return step
         return next_step(
             kind,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/crashes.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/crashes.py
@@ -104,9 +104,13 @@
         if attempt.watch.had_just_begun:
             await asyncio.wait((probe,), timeout=_CRASH_PROBE_TIMEOUT_SECONDS)
 
-    def handle_reports(self, reports: Iterable[CrashReport], peer: EntryId) -> None:
+    def handle_reports(
+        self, reports: Iterable[CrashReport], peer: EntryId
+    ) -> None:
         """Record the crashes that a peer reports."""
-        self._log_quarantined(self.quarantine.handle_reports(reports, self._now()), peer)
+        self._log_quarantined(
+            self.quarantine.handle_reports(reports, self._now()), peer
+        )
 
     async def _probe_endpoint(
         self, call: AdmittedRequest, attempt: Attempt
@@ -147,14 +151,18 @@
         if is_held and not was_held:
             self._log_quarantined((content,), self.context.entry)
 
-    def _quarantine_refusal(self, call: AdmittedRequest, seconds: float) -> Refusal:
+    def _quarantine_refusal(
+        self, call: AdmittedRequest, seconds: float
+    ) -> Refusal:
         content = call.content.digest
         crashes = self.quarantine.crash_count(content)
         return Refusal(
             RefusalCause.CRASHES_ENDPOINTS,
             f'content {content.hex()}, {crashes} crashes,'
             f' quarantined for {seconds:.0f} s',
-            retry_after=after_quarantine(seconds, call.caller_time(self._now())),
+            retry_after=after_quarantine(
+                seconds, call.caller_time(self._now())
+            ),
         )
 
     def _may_be_known(self, call: AdmittedRequest) -> bool:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/decision_log.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/decision_log.py
@@ -14,7 +14,9 @@
     def __init__(self, context: ForwardingContext) -> None:
         self.context = context
 
-    def log_placement(self, call: AdmittedRequest, placement: Placement) -> None:
+    def log_placement(
+        self, call: AdmittedRequest, placement: Placement
+    ) -> None:
         """Log the endpoint of a request and the figures behind the choice."""
         keeper = self.context.keeper
         plan = placement.plan
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/answer_observer.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/answer_observer.py
@@ -3,7 +3,7 @@
 from sycamore_core.routing import EndpointRecord
 
 from ..context import ForwardingContext
-from ..wire import NO_LIMIT, NO_BACKOFF, AnswerHead
+from ..wire import NO_BACKOFF, NO_LIMIT, AnswerHead
 
 
 class AnswerObserver:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_schedule.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_schedule.py
@@ -4,7 +4,10 @@
 import contextlib
 
 from sycamore_core.clock import Clock
-from sycamore_core.decisions.direct import UPDATE_INTERVAL_SECONDS, UpdateRateLimit
+from sycamore_core.decisions.direct import (
+    UPDATE_INTERVAL_SECONDS,
+    UpdateRateLimit,
+)
 from sycamore_core.membership import Membership
 
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_sender.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/update_sender.py
@@ -35,7 +35,10 @@
 
     def send_changes(self, changed: set[EndpointId], now: float) -> None:
         """Send changed loads to the own cell and to the engines' cells."""
-        self._send(self.writer.changes(changed, now), self.membership.own_cell_addresses())
+        self._send(
+            self.writer.changes(changed, now),
+            self.membership.own_cell_addresses(),
+        )
         self._send_to_owners(changed, now, is_full=False)
 
     def send_full(self, now: float) -> None:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
@@ -86,7 +86,9 @@
             members=(*own.addresses, self.membership.address),
             contacts=tuple(self._contacts()),
             leaving=context.keeper.leaving.recent(),
-            short_requests_per_s=self.registry.predicted_demand(now).short_requests_per_s,
+            short_requests_per_s=self.registry.predicted_demand(
+                now
+            ).short_requests_per_s,
             crashes=context.quarantine.book.rotating_reports(now),
             limits=self._limits_in(zone, now, name),
         )
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/candidates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/candidates.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 
 import msgspec
-from sycamore_core.decisions.direct import RequestedBackoffs, RateLimits
+from sycamore_core.decisions.direct import RateLimits, RequestedBackoffs
 from sycamore_core.ids import EndpointId
 from sycamore_core.routing import EndpointRecord, ServiceRecord
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
@@ -6,7 +6,6 @@
 import msgspec
 from sycamore_core.clock import Clock
 from sycamore_core.decisions.direct import (
-    RequestedBackoffs,
     Assignment,
     CellView,
     FailureTracker,
@@ -15,6 +14,7 @@
     RateLimits,
     ReadPlan,
     ReadRequest,
+    RequestedBackoffs,
     choose_plain,
     is_short_request,
     plan_in_cells,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
@@ -5,10 +5,10 @@
 
 from sycamore_core.decisions.direct import (
     ReadRequest,
+    after_backoff,
     after_full,
     after_limit,
     after_overload,
-    after_backoff,
     after_start,
     is_worth_reading,
 )
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/process.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/process.py
@@ -96,7 +96,9 @@
         """
         settings = read_settings()
         clock = SystemClock()
-        keeper = FleetKeeper(feed, clock, ReadRateLimit(settings.change_seconds))
+        keeper = FleetKeeper(
+            feed, clock, ReadRateLimit(settings.change_seconds)
+        )
         context = ForwardingContext(
             settings=settings,
             clock=clock,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders.py
@@ -44,12 +44,12 @@
 from ..placement.dispatcher import DirectDispatcher
 from ..settings import ForwardingSettings
 from ..wire import (
+    AnnouncedLimit,
     AnswerHead,
-    RequestedBackoff,
     CallTerms,
-    AnnouncedLimit,
     Order,
     OutgoingTerms,
+    RequestedBackoff,
     WireFormat,
 )
 
@@ -234,7 +234,9 @@
     return found
 
 
-def full_answer(body: str = 'done', status: int = 200, extra: str = '') -> bytes:
+def full_answer(
+    body: str = 'done', status: int = 200, extra: str = ''
+) -> bytes:
     """Return a complete signed answer."""
     return (
         f'HTTP/1.1 {status} Answer\r\nSigned: yes\r\n{extra}'
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_engines.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_engines.py
@@ -11,10 +11,10 @@
     Script,
     chunk,
     event,
-    route,
+    full_answer,
     reply_with,
+    route,
     stream_head,
-    full_answer,
 )
 
 #: By their published costs, four engines need 6.5 s to read the prompt. A
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_asked_rest.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_asked_rest.py
@@ -13,11 +13,11 @@
     RawEndpoint,
     Script,
     TestEntry,
-    running_entry,
-    route,
+    full_answer,
     reply_with,
+    route,
+    running_entry,
     snapshot_of,
-    full_answer,
 )
 from .builders_answers import is_answered, reply_in_sequence, retry_after
 from .builders_crash import callers_of
@@ -104,7 +104,9 @@
 
 async def test_endpoint_is_used_again_after_backoff() -> None:
     """Guards against an endpoint that is never used again after a refusal."""
-    talk = reply_in_sequence(refusal(SHORT_BACKOFF), full_answer(), full_answer())
+    talk = reply_in_sequence(
+        refusal(SHORT_BACKOFF), full_answer(), full_answer()
+    )
     async with running_entry(SAFE, RawEndpoint('e1', talk)) as entry:
         assert not is_answered(await entry.ask())
         assert not is_answered(await entry.ask())
@@ -181,7 +183,9 @@
     async with running_entry(SAFE, failing, full) as entry:
         dispatcher = entry.context.dispatcher
         now = entry.context.clock.monotonic()
-        dispatcher.backoffs.record_request(full.record(SERVICE).lifetime, LONG_BACKOFF, now)
+        dispatcher.backoffs.record_request(
+            full.record(SERVICE).lifetime, LONG_BACKOFF, now
+        )
         assert is_answered(await entry.ask())
     assert len(failing.requests) == 2
     assert not full.requests
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_bad_input.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_bad_input.py
@@ -10,11 +10,11 @@
     KEY,
     RawEndpoint,
     TestEntry,
-    running_entry,
+    full_answer,
+    reply_with,
     request_bytes,
     route,
-    reply_with,
-    full_answer,
+    running_entry,
 )
 
 _HEAD = (
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_crashing_requests.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_crashing_requests.py
@@ -9,12 +9,12 @@
 from .builders import (
     PAUSE_SECONDS,
     RawEndpoint,
-    running_entry,
-    route,
+    full_answer,
     never_reply,
     reply_with,
+    route,
+    running_entry,
     snapshot_of,
-    full_answer,
 )
 from .builders_answers import is_answered, retry_after
 from .builders_crash import (
@@ -124,7 +124,9 @@
 
 async def test_broken_connection_does_not_count_as_crash() -> None:
     """Guards against quarantine of requests if only connections break."""
-    endpoints = [RawEndpoint(f'e{one}', reply_with(close=True)) for one in '123']
+    endpoints = [
+        RawEndpoint(f'e{one}', reply_with(close=True)) for one in '123'
+    ]
     async with running_entry(SAFE, *endpoints) as entry:
         for _ in range(ATTEMPTS):
             answer = await entry.ask()
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_leaving_in_answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_leaving_in_answers.py
@@ -14,12 +14,12 @@
     RawEndpoint,
     Script,
     chunk,
-    running_entry,
     event,
-    route,
+    full_answer,
     reply_with,
+    route,
+    running_entry,
     snapshot_of,
-    full_answer,
 )
 from .builders_crash import callers_of
 from .builders_engines import ANSWER, HUGE, STREAM, engines
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_news.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_news.py
@@ -13,11 +13,11 @@
     MODEL,
     RawEndpoint,
     chunk,
-    running_entry,
     event,
+    reply_with,
     request_bytes,
     route,
-    reply_with,
+    running_entry,
     stream_head,
 )
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from sycamore_core.decisions.direct import RetryBudgetLimit, Assignment
+from sycamore_core.decisions.direct import Assignment, RetryBudgetLimit
 from sycamore_core.ids import EndpointId, RequestId
 from sycamore_core.routing import RouteKind
 
@@ -14,10 +14,10 @@
     RawEndpoint,
     TestEntry,
     chunk,
-    running_entry,
     event,
-    route,
     never_reply,
+    route,
+    running_entry,
     stream_head,
 )
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_rate_limits.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_rate_limits.py
@@ -6,11 +6,11 @@
     MODEL,
     SERVICE,
     RawEndpoint,
-    running_entry,
-    route,
+    full_answer,
     reply_with,
+    route,
+    running_entry,
     snapshot_of,
-    full_answer,
 )
 from .builders_answers import reply_in_sequence
 from .builders_crash import callers_of
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_read_pace.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_read_pace.py
@@ -56,7 +56,9 @@
         self.more.set()
 
 
-async def start_keeper(feed: BusyFeed, limit: ReadRateLimit) -> asyncio.Task[None]:
+async def start_keeper(
+    feed: BusyFeed, limit: ReadRateLimit
+) -> asyncio.Task[None]:
     keeper = FleetKeeper(feed, SystemClock(), limit)
     return asyncio.create_task(keeper.run())
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_reservations.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_reservations.py
@@ -11,11 +11,11 @@
     MODEL,
     Script,
     TestEntry,
-    running_entry,
-    request_bytes,
+    full_answer,
     never_reply,
     reply_with,
-    full_answer,
+    request_bytes,
+    running_entry,
 )
 from .builders_engines import ANSWER, HUGE, STREAM, Engine, engines
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_runs.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_runs.py
@@ -6,11 +6,11 @@
 
 from .builders import (
     RawEndpoint,
-    running_entry,
-    route,
+    full_answer,
     never_reply,
     reply_with,
-    full_answer,
+    route,
+    running_entry,
 )
 from .builders_answers import reply_in_sequence
 
@@ -80,7 +80,9 @@
 
 async def test_request_is_refused_if_all_replicas_are_full() -> None:
     """Guards against a failure, or no retry time, if all replicas refuse."""
-    endpoints = [RawEndpoint(f'e{one}', reply_with(NOT_RUN)) for one in range(3)]
+    endpoints = [
+        RawEndpoint(f'e{one}', reply_with(NOT_RUN)) for one in range(3)
+    ]
     async with running_entry(UNSAFE, *endpoints) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 503')
@@ -104,7 +106,9 @@
 async def test_failure_of_endpoint_is_forwarded() -> None:
     """Guards against replacing an endpoint's own failure."""
     failed = full_answer('no such guest', 500)
-    async with running_entry(UNSAFE, RawEndpoint('e1', reply_with(failed))) as entry:
+    async with running_entry(
+        UNSAFE, RawEndpoint('e1', reply_with(failed))
+    ) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 500')
     assert answer.endswith(b'no such guest')
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_start.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_start.py
@@ -13,10 +13,10 @@
     SNAPSHOT,
     FixedFeed,
     RawEndpoint,
-    running_entry,
-    route,
-    reply_with,
     full_answer,
+    reply_with,
+    route,
+    running_entry,
 )
 
 CALLER_COUNT = 20
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_stopping.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_stopping.py
@@ -17,11 +17,11 @@
     FixedFeed,
     RawEndpoint,
     SimpleWire,
-    running_entry,
+    full_answer,
+    reply_with,
     request_bytes,
     route,
-    reply_with,
-    full_answer,
+    running_entry,
 )
 
 NOWHERE = f'{HOST}:0'
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials_machine.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_trials_machine.py
@@ -104,7 +104,9 @@
         address = sender.membership.address
         if self.membership.mark_alive(address, ZONE, PeerId(address), now):
             self.fleet.record_peer_joined(now)
-        self.quarantine.handle_reports(sender.quarantine.book.rotating_reports(now), now)
+        self.quarantine.handle_reports(
+            sender.quarantine.book.rotating_reports(now), now
+        )
 
     def know_of_crashes(self) -> None:
         reports = ambiguous_crashes(CONTENT)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_whole_answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_whole_answers.py
@@ -11,14 +11,14 @@
     MODEL,
     RawEndpoint,
     chunk,
-    running_entry,
     event,
-    request_bytes,
-    route,
+    full_answer,
     never_reply,
     reply_with,
+    request_bytes,
+    route,
+    running_entry,
     stream_head,
-    full_answer,
 )
 from .builders_answers import reply_in_sequence
 
@@ -28,7 +28,9 @@
 
 
 async def test_answer_and_request_are_forwarded_unchanged() -> None:
-    endpoint = RawEndpoint('e1', reply_with(full_answer('report', extra='Other: 1\r\n')))
+    endpoint = RawEndpoint(
+        'e1', reply_with(full_answer('report', extra='Other: 1\r\n'))
+    )
     async with running_entry(SAFE, endpoint) as entry:
         answer = await entry.ask(body=b'text')
     head, _, body = answer.partition(b'\r\n\r\n')
@@ -62,7 +64,9 @@
     The caller would take it for the confirmation of its request.
     """
     forged = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
-    async with running_entry(UNSAFE, RawEndpoint('e1', reply_with(forged))) as entry:
+    async with running_entry(
+        UNSAFE, RawEndpoint('e1', reply_with(forged))
+    ) as entry:
         answer = await entry.ask()
     assert answer.startswith(b'HTTP/1.1 502')
 
@@ -83,7 +87,9 @@
 
     The next caller would receive it as the answer to its own request.
     """
-    talk = reply_in_sequence(full_answer('first') + full_answer('extra'), full_answer('second'))
+    talk = reply_in_sequence(
+        full_answer('first') + full_answer('extra'), full_answer('second')
+    )
     async with running_entry(SAFE, RawEndpoint('e1', talk)) as entry:
         first = await entry.ask()
         await asyncio.sleep(0.05)
@@ -163,7 +169,9 @@
     The caller's connection closes without the last chunk, and without the
     head of a refusal within the stream.
     """
-    only = RawEndpoint('e1', reply_with(stream_head(), chunk(event(0)), close=True))
+    only = RawEndpoint(
+        'e1', reply_with(stream_head(), chunk(event(0)), close=True)
+    )
     async with running_entry(STREAM, only) as entry:
         answer = await entry.ask(Prompt='1000')
     assert answer.count(b'HTTP/1.1') == 1
--- a/packages/sycamore-standins/src/sycamore_standins/passes/gossip.py
+++ b/packages/sycamore-standins/src/sycamore_standins/passes/gossip.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from sycamore_core.decisions.direct import (
-    UPDATE_INTERVAL_SECONDS,
     FULL_UPDATE_SECONDS,
+    UPDATE_INTERVAL_SECONDS,
     CellView,
     KnownEngine,
     LoadRegistry,
@@ -72,7 +72,10 @@
             self._whole_at[entry] = now + FULL_UPDATE_SECONDS
             self._tell_cells(entry)
             self._tell(entry, set(self.books[entry].own), is_whole=True)
-        pause = self.paces[entry].regular_wait_seconds(now) or UPDATE_INTERVAL_SECONDS
+        pause = (
+            self.paces[entry].regular_wait_seconds(now)
+            or UPDATE_INTERVAL_SECONDS
+        )
         self.timeline.at(now + pause, self.tell, entry)
 
     def hear(
@@ -88,7 +91,11 @@
             if self._are_near(entry, teller):
                 now = self.timeline.now
                 book.apply_update(
-                    name, shares, now, is_full=is_whole, short_requests_per_s=rate
+                    name,
+                    shares,
+                    now,
+                    is_full=is_whole,
+                    short_requests_per_s=rate,
                 )
             else:
                 self._hear_far(name, entry, shares)
--- a/packages/sycamore-standins/src/sycamore_standins/passes/policies.py
+++ b/packages/sycamore-standins/src/sycamore_standins/passes/policies.py
@@ -68,7 +68,9 @@
     ) -> ReadPlan | None:
         """Return the plan with the least harm."""
         known = [
-            msgspec.structs.replace(one, tie_break=_tie(placed.entry, one.endpoint))
+            msgspec.structs.replace(
+                one, tie_break=_tie(placed.entry, one.endpoint)
+            )
             for one in engines
         ]
         return plan_in_cells(
--- a/packages/sycamore-standins/src/sycamore_standins/passes/replay.py
+++ b/packages/sycamore-standins/src/sycamore_standins/passes/replay.py
@@ -71,7 +71,9 @@
     def _arrive(self, answer: Answer) -> None:
         request = answer.request
         if is_short_request(self.costs, request.prompt_tokens):
-            self.books[request.entry].short_requests.record_arrival(self.timeline.now)
+            self.books[request.entry].short_requests.record_arrival(
+                self.timeline.now
+            )
         self._place(answer)
 
     def _place(self, answer: Answer) -> None:
