--- a/packages/sycamore-core/src/sycamore_core/decisions/fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/fair.py
@@ -8,7 +8,7 @@
 - `placement` selects the endpoint,
 - `tracked` decides whether an endpoint gets more requests now,
 - `retries` decides what follows a failed attempt,
-- `health` and `pace` reduce the load of endpoints.
+- `health` and `weight_ramp` reduce the load of endpoints.
 
 Load pattern: the patterns of all these modules at once. Without one place that
 runs them in this order, one module would undo the decision of another.
--- a/packages/sycamore-core/src/sycamore_core/decisions/outstanding.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/outstanding.py
@@ -22,7 +22,7 @@
         Prompt tokens that each endpoint is expected to compute.
     lease_tokens
         Memory that the request is expected to use at each endpoint, in tokens.
-    holders
+    charged_candidates
         Candidates that were charged for the request. An endpoint that was
         removed and added again is a new candidate without this charge.
     tokens_ahead
--- a/packages/sycamore-core/src/sycamore_core/decisions/retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/retries.py
@@ -102,8 +102,8 @@
 class RetryBudget:
     """Number of retries that an entry may make, relative to its requests.
 
-    Call `record_first_attempt` for each admitted request and `record_answer` when its first
-    token arrives.
+    Call `record_first_attempt` for each admitted request and `record_answer`
+    when its first token arrives.
 
     Examples
     --------
--- a/packages/sycamore-core/src/sycamore_core/messages/inflate.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/inflate.py
@@ -10,7 +10,7 @@
 
     Parameters
     ----------
-    most_bytes
+    max_bytes
         Maximum number of decompressed bytes. Without a bound, a small
         message could exhaust the memory of the receiver.
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/calls.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/calls.py
@@ -18,7 +18,7 @@
     ----------
     workspace
         Workspace that the request belongs to; None on public routes.
-    limit
+    deadline
         Deadline of the request on the monotonic clock, in seconds.
     content
         Digest that identifies the request when a caller repeats it.
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
@@ -30,7 +30,7 @@
 
     Attributes
     ----------
-    entries
+    entry_count
         Number of entries that send updates or are named by peers, this entry
         included.
     last_peer_message_at
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
@@ -45,7 +45,7 @@
     plan
         Plan for reading the prompt; for a plain service it names only the
         endpoint.
-    home
+    primary
         Primary endpoint, which serves the request.
     helpers
         Engines that read parts of the prompt.
@@ -61,7 +61,7 @@
 
     Attributes
     ----------
-    book
+    loads
         Load of each endpoint: work of this entry and reports of its peers.
     cells
         Engines that are considered first.
@@ -69,11 +69,11 @@
         Recent failures of endpoints.
     limits
         Rate limits that endpoints set.
-    rests
+    backoffs
         Backoffs that endpoints requested from this entry.
     candidates
         Endpoints that may be sent a request.
-    has_sent
+    has_unsent_load
         Set when a request has been sent. The sender of load updates clears
         it.
     """
--- a/packages/sycamore-standins/src/sycamore_standins/passes/gossip.py
+++ b/packages/sycamore-standins/src/sycamore_standins/passes/gossip.py
@@ -23,9 +23,10 @@
 class Gossip:
     """The updates between the entries of a replay.
 
-    Entries of a cell tell one another of each request as their `UpdatePace`
-    has it; one of another cell is told each second what the cell has, and like
-    the own cell what concerns its engines.
+    The entries of a cell report each request to one another at the rate that
+    `UpdateRateLimit` allows. An entry of another cell receives the totals of
+    the cell each second, and the reports about its own engines like an entry
+    of the cell.
 
     Attributes
     ----------
