--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/answers.py
@@ -13,9 +13,9 @@
 )
 
 from ...answers import AnswerSink
-from ...checked_call import CheckedCall, make_model_request, make_plain_request
 from ...errors import RefusedError
 from ...exchanges import AttachExchange, CallerRequest, Exchange
+from ...incoming_call import CheckedCall, make_model_request, make_plain_request
 from ..auth import check_workspace, find_service
 from ..limits import read_terms
 from ..prompts import read_prompt
--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/plain.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/plain.py
@@ -3,8 +3,8 @@
 from sycamore_core.messages import PlainCall
 from tornado.web import RequestHandler
 
-from ...checked_call import make_plain_request
 from ...exchanges import Exchange
+from ...incoming_call import make_plain_request
 from ..sinks import PlainSink
 from .service import ServiceHandler
 
--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/requests.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/requests.py
@@ -1,7 +1,7 @@
 """``POST /v1/workspaces/{w}/services/{s}/requests``: run a request."""
 
-from ...checked_call import make_model_request
 from ...exchanges import Exchange
+from ...incoming_call import make_model_request
 from ..prompts import read_prompt
 from .service import ServiceHandler
 
--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/service.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/service.py
@@ -2,7 +2,7 @@
 
 from sycamore_core.ids import ServiceId, WorkspaceId
 
-from ...checked_call import CheckedCall
+from ...incoming_call import CheckedCall
 from ..auth import check_workspace, find_service
 from ..limits import read_terms
 from .base import BodyHandler
