--- a/packages/sycamore-endpoint/src/sycamore_endpoint/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint process: sole gate to one engine or plain service."""
+"""The endpoint process: the only client of one engine or plain service."""
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/__main__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/__main__.py
@@ -1,4 +1,4 @@
-"""Run the endpoint process by ``python -m sycamore_endpoint``."""
+"""Run the endpoint process with ``python -m sycamore_endpoint``."""
 
 from .cli import main
 
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/admission.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/admission.py
@@ -1,4 +1,4 @@
-"""Whether an offer is accepted at this endpoint."""
+"""Admission of offered requests at this endpoint."""
 
 from sycamore_core.messages import Accepted, Declined, Offer
 from sycamore_core.states import EndpointPhase, Execution, RefusalReason
@@ -16,22 +16,26 @@
 from .reservations import Reservations
 from .state import EndpointState
 
-#: When to come back to an endpoint that is full, in seconds. Entries hear of
-#: its load every second, so an earlier try would know no more.
+#: Retry delay sent with the refusal of a full endpoint, in seconds. Entries
+#: receive its load every second, so an earlier retry has no newer information.
 FULL_RETRY_SECONDS = 1.0
-#: How long a lease outlives the deadline of its run, in seconds. The run is
-#: cancelled at the deadline; this is the backstop if that was lost.
-LEASE_SPARE_SECONDS = 10.0
+#: Time between the deadline of a run and the expiry of its lease, in seconds.
+#: The run is cancelled at the deadline; the expiry covers a lost cancellation.
+LEASE_MARGIN_SECONDS = 10.0
 
 
-#: After these, an earlier process may have run the request.
-_IN_DOUBT = frozenset(
+#: Refusals after which an earlier process may have run the request.
+_EXECUTION_UNKNOWN = frozenset(
     (RefusalReason.WRONG_INCARNATION, RefusalReason.KEY_IN_DOUBT),
 )
 
 
 class Admission:
-    """Decides on offers; no waiting in between, so nothing can change."""
+    """Accepts or declines offers.
+
+    A decision has no suspension point (no ``await``), so the state that it
+    reads cannot change before the decision is recorded.
+    """
 
     def __init__(
         self,
@@ -47,45 +51,48 @@
         self.reservations = reservations
         self.keys = keys
 
-    def consider(
+    def decide(
         self,
         offer: Offer,
         owner: Owner,
         sent_at: float,
     ) -> Accepted | Declined:
-        """Accept or decline an offer; the same one is answered the same.
+        """Accept or decline an offer.
+
+        A repeated offer gets the same answer.
 
         Parameters
         ----------
         sent_at
-            When the offer was sent, on this process's monotonic clock.
+            When the offer was sent, in seconds on the monotonic clock of this
+            process.
         """
         if offer.incarnation != self.state.incarnation:
-            return _unknown(offer, RefusalReason.WRONG_INCARNATION)
-        known = self.runs.answer_again(offer, owner)
-        if known is not None:
-            return Accepted(offer.request_id, known.attempt)
+            return _decline_unknown(offer, RefusalReason.WRONG_INCARNATION)
+        record = self.runs.answer_again(offer, owner)
+        if record is not None:
+            return Accepted(offer.request_id, record.attempt)
         now = self.state.clock.monotonic()
-        refused = self.runs.refusal(offer, owner, now)
-        if refused is not None:
-            return refused
-        return self._consider_new(offer, owner, sent_at, now)
+        declined = self.runs.refusal(offer, owner, now)
+        if declined is not None:
+            return declined
+        return self._decide_new(offer, owner, sent_at, now)
 
     def may_start(self, record: RunRecord) -> bool:
-        """Decide once more, at the moment at which the call is written.
+        """Check a run again when its call to the back end is written.
 
-        What goes wrong otherwise: this process is paused between accepting
-        an offer and calling the back end, wakes minutes later, and acts on
-        what was true before. One would notice a deposit that ran after its
-        caller was told that its time was over, or ran a second time. Nothing
-        waits between this decision and the write to the socket.
+        Without this check, a process that is suspended for minutes between
+        accepting an offer and calling the back end would act on outdated
+        state. A deposit could run after its caller was told that the time
+        limit had passed, or run a second time. No suspension point lies
+        between this check and the write to the socket.
         """
         offer = record.offer
         if offer is None or self.keys.doubt(offer) is not None:
             return False
         return self.runs.start(record, self.state.clock.monotonic())
 
-    def _consider_new(
+    def _decide_new(
         self,
         offer: Offer,
         owner: Owner,
@@ -93,13 +100,13 @@
         now: float,
     ) -> Accepted | Declined:
         deadline = sent_at + offer.budget
-        objection = self._objection(offer, deadline, now)
-        if objection is not None:
-            if objection in _IN_DOUBT:
-                return _unknown(offer, objection)
-            return self.runs.decline(offer, owner, objection, now)
-        tokens = self._tokens(offer)
-        if not self._lease(offer, tokens, deadline, now):
+        reason = self._refusal_reason(offer, deadline, now)
+        if reason is not None:
+            if reason in _EXECUTION_UNKNOWN:
+                return _decline_unknown(offer, reason)
+            return self.runs.decline(offer, owner, reason, now)
+        tokens = self._required_tokens(offer)
+        if not self._acquire_lease(offer, tokens, deadline, now):
             return self.runs.decline(
                 offer,
                 owner,
@@ -110,23 +117,23 @@
         self.runs.admit(offer, owner, deadline, now)
         return Accepted(offer.request_id, offer.attempt, tokens)
 
-    def _objection(
+    def _refusal_reason(
         self,
         offer: Offer,
         deadline: float,
         now: float,
     ) -> RefusalReason | None:
-        closed = self._closed_to(offer)
-        if closed is not None:
-            return closed
+        unavailable = self._unavailable_reason(offer)
+        if unavailable is not None:
+            return unavailable
         if deadline <= now:
             return RefusalReason.DEADLINE_PASSED
-        objection = self.reservations.objection(offer)
-        if objection is None and self.keys.doubt(offer) is not None:
+        reason = self.reservations.refusal_reason(offer)
+        if reason is None and self.keys.doubt(offer) is not None:
             return RefusalReason.KEY_IN_DOUBT
-        return objection
+        return reason
 
-    def _closed_to(self, offer: Offer) -> RefusalReason | None:
+    def _unavailable_reason(self, offer: Offer) -> RefusalReason | None:
         if self.state.phase is EndpointPhase.DRAINING:
             return RefusalReason.DRAINING
         own = self.state.own
@@ -138,7 +145,7 @@
             return RefusalReason.WRONG_SERVICE
         return None
 
-    def _tokens(self, offer: Offer) -> int:
+    def _required_tokens(self, offer: Offer) -> int:
         if offer.plain_call is not None:
             return 0
         own = self.state.own
@@ -147,7 +154,7 @@
             return spans[-1].tokens if spans else 0
         return offer.prompt_tokens + offer.max_output_tokens
 
-    def _lease(
+    def _acquire_lease(
         self,
         offer: Offer,
         tokens: int,
@@ -156,14 +163,14 @@
     ) -> bool:
         key = LeaseKey(LeaseKind.RUN, offer.request_id)
         if key in self.memory.leases:
-            # An earlier attempt is still being cleared from the engine.
+            # The engine has not yet released an earlier attempt.
             return False
-        expires_at = deadline + LEASE_SPARE_SECONDS
+        expires_at = deadline + LEASE_MARGIN_SECONDS
         return self.memory.take(key, tokens, expires_at, now)
 
 
-def _unknown(offer: Offer, reason: RefusalReason) -> Declined:
-    """Decline what an earlier process beside this engine may have run."""
+def _decline_unknown(offer: Offer, reason: RefusalReason) -> Declined:
+    """Decline an offer that an earlier endpoint process may have run."""
     return Declined(
         request_id=offer.request_id,
         attempt=offer.attempt,
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/gate.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backend_parts.py
@@ -1,4 +1,4 @@
-"""What stands between the peers and the back end, once it is known."""
+"""Construction of the parts that depend on the kind of the back end."""
 
 import dataclasses
 from typing import Protocol
@@ -12,42 +12,42 @@
 from .admission import Admission
 from .backends import Backend, EngineBackend, PlainBackend
 from .backends.calls import ControlClient
-from .desk import Desk
 from .engine_watch import EngineWatch
 from .groups import GroupBackend, GroupDesk, GroupMemberDesk, Groups
 from .housekeeping import Housekeeping
 from .keys.keeper import KeyKeeper
 from .ledger import MemoryLedger, OwnerLeases, RunLedger
+from .message_handler import MessageHandler
 from .orders import OrderKeeper
 from .reports import Reporter
 from .reservations import Reservations
 from .runner import Runner
 from .state import EndpointState
 
-#: Streams of one back end at a time. A run beyond them waits in our own
-#: queue, within its deadline; engines batch far fewer sequences.
+#: Concurrent streams to one back end. Further runs wait in the queue of the
+#: HTTP client, within their deadlines. Engines batch far fewer sequences.
 MAX_STREAMS = 256
 
 
 @dataclasses.dataclass
-class Gate:
-    """The parts that need to know the kind of the back end.
+class BackendParts:
+    """The parts that depend on the kind of the back end.
 
     Attributes
     ----------
     watch, orders
-        None for a plain service, which reports no load and takes no orders.
+        None for a plain service, which reports no load and receives no orders.
     """
 
-    desk: Desk
+    message_handler: MessageHandler
     runner: Runner
     housekeeping: Housekeeping
     watch: EngineWatch | None = None
     orders: OrderKeeper | None = None
 
 
-class GateParts(Protocol):
-    """What a gate is made of; see `EndpointParts`."""
+class SharedParts(Protocol):
+    """The parts that `BackendParts` is built from; see `EndpointParts`."""
 
     settings: EndpointProcessSettings
     state: EndpointState
@@ -60,8 +60,8 @@
     metrics: Metrics
 
 
-def make_gate(parts: GateParts, kind: EndpointKind) -> Gate:
-    """Return the gate to a back end of this kind."""
+def make_backend_parts(parts: SharedParts, kind: EndpointKind) -> BackendParts:
+    """Return the parts for a back end of this kind."""
     streams = CurlAsyncHTTPClient(
         force_instance=True,
         max_clients=MAX_STREAMS,
@@ -79,19 +79,21 @@
         parts.node,
     )
     member = GroupMemberDesk(parts.state, parts.memory, control)
-    gate = _assemble(parts, backend)
-    gate.desk.groups = GroupDesk(groups, member)
-    gate.watch = EngineWatch(
+    backend_parts = _assemble(parts, backend)
+    backend_parts.message_handler.groups = GroupDesk(groups, member)
+    backend_parts.watch = EngineWatch(
         parts.state,
         parts.memory,
         parts.reporter,
         control,
     )
-    gate.orders = _make_orders(parts, control)
-    return gate
+    backend_parts.orders = _make_order_keeper(parts, control)
+    return backend_parts
 
 
-def _make_orders(parts: GateParts, control: ControlClient) -> OrderKeeper:
+def _make_order_keeper(
+    parts: SharedParts, control: ControlClient
+) -> OrderKeeper:
     weights_url = parts.settings.weights_url
     weights = None
     if weights_url:
@@ -104,7 +106,7 @@
     )
 
 
-def _assemble(parts: GateParts, backend: Backend) -> Gate:
+def _assemble(parts: SharedParts, backend: Backend) -> BackendParts:
     admission = Admission(
         parts.state,
         parts.runs,
@@ -114,7 +116,7 @@
     )
     runner = Runner(parts.runs, parts.memory, backend, parts.node, admission)
     owners = OwnerLeases()
-    desk = Desk(
+    message_handler = MessageHandler(
         admission,
         parts.reservations,
         runner,
@@ -123,4 +125,4 @@
         parts.metrics,
     )
     housekeeping = Housekeeping(runner, owners, parts.metrics)
-    return Gate(desk, runner, housekeeping)
+    return BackendParts(message_handler, runner, housekeeping)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/__init__.py
@@ -1,4 +1,4 @@
-"""What stands behind an endpoint process: an engine or a plain service."""
+"""Clients of the back end of an endpoint process."""
 
 from .base import Backend, Piece, StartGate
 from .engine import EngineBackend
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/base.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/base.py
@@ -1,4 +1,4 @@
-"""The interface of all back ends."""
+"""The interface of all back end clients."""
 
 import abc
 from collections.abc import AsyncIterator, Callable
@@ -7,13 +7,13 @@
 from sycamore_core.ids import RequestId
 from sycamore_core.messages import Offer, PlainReply
 
-#: Decides, at the moment at which the body of the call is written, whether
-#: the run may still begin.
+#: Returns whether the run may still start; called when the body of the call
+#: is written.
 StartGate = Callable[[], bool]
 
 
 class Piece(msgspec.Struct, frozen=True):
-    """A part of an answer as the back end gives it."""
+    """A part of an answer, as received from the back end."""
 
     payload: bytes = b''
     tokens: int = 0
@@ -21,7 +21,7 @@
 
 
 class Backend(abc.ABC):
-    """Runs requests and gives their answers piece by piece."""
+    """Runs requests and streams their answers."""
 
     @abc.abstractmethod
     def pieces(
@@ -30,25 +30,25 @@
         gate: StartGate,
         seconds: float,
     ) -> AsyncIterator[Piece]:
-        """Run a request; ends when its answer is whole.
+        """Run a request and yield its answer until it is complete.
 
         Parameters
         ----------
         gate
-            Asked once, when the first byte of the body is written.
+            Called once, when the first byte of the body is written.
         seconds
-            Time that is left to the run.
+            Time left to the run, in seconds.
 
         Raises
         ------
         NotStartedError
-            If the gate said no, or the back end was never reached.
+            If the gate returned False, or the back end was not reached.
         BackendBusyError
-            If the back end had no room; it did not run.
+            If the back end had no capacity; the request did not run.
         BackendError
-            If it failed; it may have run.
+            If the call failed; the request may have run.
         """
 
     @abc.abstractmethod
     async def cancel(self, request_id: RequestId) -> bool:
-        """Give a run up; True if the back end certainly holds nothing."""
+        """Cancel a run; True if the back end holds no memory for it."""
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/calls.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/calls.py
@@ -1,4 +1,4 @@
-"""Short calls to a back end: cancelling, orders, reports."""
+"""Short control calls to a back end: cancellations, orders, load."""
 
 from typing import Any, TypeVar
 
@@ -7,11 +7,11 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPError, HTTPRequest, HTTPResponse
 
-from ..errors import BackendSilentError
+from ..errors import BackendUnreachableError
 
-#: Longest a short call may take, in seconds. The back end runs on the same
-#: instance and answers in milliseconds; a stuck one must not hold up what
-#: waits for the answer.
+#: Default timeout of a control call, in seconds. The back end runs on the same
+#: instance and answers in milliseconds. A stuck back end must not block the
+#: tasks that wait for the answer.
 CONTROL_SECONDS = 2.0
 
 _Answer = TypeVar('_Answer')
@@ -20,8 +20,8 @@
 class ControlClient:
     """Makes short JSON calls to one back end.
 
-    It has connections of its own, so that a cancellation never waits behind
-    streams.
+    The client has its own connections, so that a cancellation never queues
+    behind streams.
     """
 
     def __init__(self, base_url: str, client: CurlAsyncHTTPClient) -> None:
@@ -34,10 +34,10 @@
         Raises
         ------
         BackendError
-            If there is none that can be read.
+            If there is no answer, or it cannot be decoded.
         """
         response = await self._fetch(path, 'GET', None)
-        return _decoded(response, kind)
+        return _decode(response, kind)
 
     async def send(
         self,
@@ -50,14 +50,15 @@
 
         Raises
         ------
-        BackendSilentError
-            If there is no answer; the call may have had its effect.
+        BackendUnreachableError
+            If there is no answer; the call may have taken effect.
         BackendError
-            If the back end refused.
+            If the back end answered with an error status, or its answer
+            cannot be decoded.
         """
         encoded = msgspec.json.encode(body)
         response = await self._fetch(path, 'POST', encoded, seconds)
-        return _decoded(response, kind)
+        return _decode(response, kind)
 
     async def _fetch(
         self,
@@ -77,15 +78,15 @@
         try:
             return await self.client.fetch(request)
         except HTTPError as error:
-            if error.response is not None and error.code < _NO_ANSWER:
+            if error.response is not None and error.code < _STATUS_NO_RESPONSE:
                 raise RefusedError(error.code, str(error)) from error
-            raise BackendSilentError(str(error)) from error
+            raise BackendUnreachableError(str(error)) from error
         except OSError as error:
-            raise BackendSilentError(str(error)) from error
+            raise BackendUnreachableError(str(error)) from error
 
 
-#: The status by which tornado says that there was no answer at all.
-_NO_ANSWER = 599
+#: The status that tornado uses if no response was received.
+_STATUS_NO_RESPONSE = 599
 
 
 class RefusedError(BackendError):
@@ -96,8 +97,10 @@
         self.status = status
 
 
-def _decoded(response: HTTPResponse, kind: type[_Answer]) -> _Answer:
+def _decode(response: HTTPResponse, kind: type[_Answer]) -> _Answer:
     try:
         return msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as error:
-        raise BackendError(f'not the answer expected: {error}') from error
+        raise BackendError(
+            f'unexpected answer of the back end: {error}'
+        ) from error
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/engine.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/engine.py
@@ -1,4 +1,4 @@
-"""A model engine behind this endpoint process."""
+"""Client of an inference engine."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,15 +13,15 @@
 
 from ..errors import (
     BackendBusyError,
-    BackendSilentError,
+    BackendUnreachableError,
     NotStartedError,
-    RunUnknownError,
-    StreamCutError,
+    StreamInterruptedError,
+    UnknownRunError,
 )
 from .base import Backend, Piece, StartGate
 from .calls import ControlClient
 from .lines import read_lines
-from .stream import CONNECT_SECONDS, SPARE_SECONDS, StreamCall
+from .stream import CONNECT_SECONDS, TIMEOUT_MARGIN_SECONDS, StreamCall
 
 _OK = 200
 _NOT_FOUND = 404
@@ -59,7 +59,7 @@
     cancelled: bool
 
 
-class Line(msgspec.Struct, frozen=True):
+class StreamLine(msgspec.Struct, frozen=True):
     """One line of an engine's stream."""
 
     sequence: int = -1
@@ -70,7 +70,7 @@
 
 
 class EngineBackend(Backend):
-    """Streams from an engine, and resumes a stream that broke."""
+    """Streams answers from an engine, and resumes an interrupted stream."""
 
     def __init__(
         self,
@@ -99,39 +99,39 @@
             prompt=offer.payload,
             imports=imports,
         )
-        call = self._call('/v1/generate', body, gate, seconds)
-        position = Position()
+        call = self._start_call('/v1/generate', body, gate, seconds)
+        position = StreamPosition()
         try:
             while True:
-                async for piece in self._follow(call, position):
+                async for piece in self._read_pieces(call, position):
                     yield piece
                 if position.done:
                     return
-                await asyncio.sleep(RESUME_PAUSE_SECONDS)
-                call = self._resume(offer.request_id, position, seconds)
+                await asyncio.sleep(RESUME_DELAY_SECONDS)
+                call = self._call_resume(offer.request_id, position, seconds)
         finally:
             call.abort()
 
     async def cancel(self, request_id: RequestId) -> bool:
-        """Give a run up; True once the engine holds nothing for it."""
+        """Cancel a run; True if the engine holds no memory for it."""
         body = CancelBody(request_id)
         try:
             await self.control.send('/v1/cancel', body, CancelAnswer)
         except BackendError:
             return False
-        # False in the answer means that the engine did not know it.
+        # `cancelled` is False if the engine did not know the run.
         return True
 
-    def _resume(
+    def _call_resume(
         self,
         request_id: RequestId,
-        position: 'Position',
+        position: 'StreamPosition',
         seconds: float,
     ) -> StreamCall:
-        body = ResumeBody(request_id, position.last)
-        return self._call('/v1/resume', body, _always, seconds)
+        body = ResumeBody(request_id, position.last_sequence)
+        return self._start_call('/v1/resume', body, _may_always_start, seconds)
 
-    def _call(
+    def _start_call(
         self,
         path: str,
         body: Any,
@@ -143,108 +143,116 @@
             method='POST',
             body=msgspec.json.encode(body),
             connect_timeout=CONNECT_SECONDS,
-            request_timeout=seconds + SPARE_SECONDS,
+            request_timeout=seconds + TIMEOUT_MARGIN_SECONDS,
             follow_redirects=False,
         )
         call = StreamCall(self.streams, request, gate)
         call.start()
         return call
 
-    async def _follow(
+    async def _read_pieces(
         self,
         call: StreamCall,
-        position: 'Position',
+        position: 'StreamPosition',
     ) -> AsyncIterator[Piece]:
         try:
             async for text in read_lines(call):
                 _check_status(call)
-                line = _parsed(text)
-                if position.take(line):
+                line = _parse_line(text)
+                if position.accept_line(line):
                     yield Piece(line.text.encode(), line.tokens)
             _check_status(call)
         except NotStartedError as error:
-            if not position.begun:
+            if not position.may_have_started:
                 raise
-            position.broke(error)
-        except (StreamCutError, BackendSilentError) as error:
-            position.begun = True
-            position.broke(error)
+            position.record_failure(error)
+        except (StreamInterruptedError, BackendUnreachableError) as error:
+            position.may_have_started = True
+            position.record_failure(error)
         else:
-            position.ended()
+            position.record_end()
 
 
-class Position:
-    """How far a stream has come, over all connections that carried it.
+class StreamPosition:
+    """Progress of a stream over all connections that carried it.
 
     Attributes
     ----------
-    last
-        Number of the last line taken; -1 at first.
-    begun
-        Whether the engine may have begun.
-    fruitless
-        Connections in a row that gave no new line.
+    last_sequence
+        Number of the last accepted line; -1 before the first line.
+    may_have_started
+        Whether the engine may have started the run.
+    stalled_connections
+        Consecutive connections that delivered no new line.
     """
 
     def __init__(self) -> None:
-        self.last = -1
+        self.last_sequence = -1
         self.done = False
-        self.begun = False
-        self.fruitless = 0
+        self.may_have_started = False
+        self.stalled_connections = 0
 
-    def take(self, line: Line) -> bool:
-        """Return whether a line is the next piece of the answer."""
+    def accept_line(self, line: StreamLine) -> bool:
+        """Record a line; return whether it is the next part of the answer."""
         if line.done:
             if line.outcome != 'complete':
-                raise BackendError(f'engine ended with {line.outcome}')
+                raise BackendError(
+                    f'engine ended the stream with outcome {line.outcome}'
+                )
             self.done = True
             return False
-        if line.sequence <= self.last:
+        if line.sequence <= self.last_sequence:
             return False
-        if line.sequence > self.last + 1:
-            raise StreamCutError('a line is missing')
-        self.last = line.sequence
-        self.begun = True
-        self.fruitless = 0
+        if line.sequence > self.last_sequence + 1:
+            raise StreamInterruptedError('stream has a gap between two lines')
+        self.last_sequence = line.sequence
+        self.may_have_started = True
+        self.stalled_connections = 0
         return True
 
-    def ended(self) -> None:
-        """Note that a connection ended; without the last line it was cut."""
+    def record_end(self) -> None:
+        """Record the end of a connection; a failure before the last line."""
         if not self.done:
-            self.begun = True
-            self.broke(StreamCutError('ended without its last line'))
+            self.may_have_started = True
+            self.record_failure(
+                StreamInterruptedError('stream ended before its last line')
+            )
 
-    def broke(self, error: BackendError) -> None:
-        """Note a broken connection; give up after a few without progress.
+    def record_failure(self, error: BackendError) -> None:
+        """Record an interrupted connection; fail after too many of them.
 
         Raises
         ------
-        BackendSilentError
-            If the engine does not go on with the stream.
+        BackendUnreachableError
+            If the engine does not continue the stream.
         """
-        self.fruitless += 1
-        if self.fruitless > FRUITLESS_RESUMES:
-            raise BackendSilentError('stream does not go on') from error
+        self.stalled_connections += 1
+        if self.stalled_connections > MAX_STALLED_CONNECTIONS:
+            raise BackendUnreachableError(
+                'engine does not continue the stream'
+            ) from error
 
 
-#: Connections without any new line after which a run is given up. One may
-#: break by chance, a second one by a restart of what lies between; an engine
-#: that does not go on after three has lost the run.
-FRUITLESS_RESUMES = 3
-#: Time before a broken stream is asked for again, in seconds, so that an
-#: engine in trouble is not asked in a loop.
-RESUME_PAUSE_SECONDS = 0.1
+#: Consecutive connections without a new line that are tolerated before the run
+#: fails. One may break by chance and a second one by the restart of a component
+#: in between. An engine that does not continue after three has lost the run.
+MAX_STALLED_CONNECTIONS = 3
+#: Delay before an interrupted stream is resumed, in seconds. It avoids a tight
+#: loop of calls to a failing engine.
+RESUME_DELAY_SECONDS = 0.1
 
 
-def _always() -> bool:
+def _may_always_start() -> bool:
     return True
 
 
-def _parsed(text: bytes) -> Line:
+def _parse_line(text: bytes) -> StreamLine:
     try:
-        return msgspec.json.decode(text, type=Line)
+        return msgspec.json.decode(text, type=StreamLine)
     except msgspec.DecodeError as error:
-        raise BackendError(f'engine line: {error}') from error
+        raise BackendError(
+            f'cannot decode a line of the engine: {error}'
+        ) from error
 
 
 def _check_status(call: StreamCall) -> None:
@@ -253,5 +261,5 @@
     if call.status == _UNAVAILABLE:
         raise BackendBusyError('engine is out of memory')
     if call.status == _NOT_FOUND:
-        raise RunUnknownError('engine does not know the run')
-    raise BackendError(f'engine answered {call.status}')
+        raise UnknownRunError('engine does not know the run')
+    raise BackendError(f'engine answered with status {call.status}')
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/lines.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/lines.py
@@ -1,4 +1,4 @@
-"""Lines of a streamed answer."""
+"""Splitting of a streamed answer into lines."""
 
 from collections.abc import AsyncIterator
 
@@ -8,13 +8,13 @@
 
 
 async def read_lines(call: StreamCall) -> AsyncIterator[bytes]:
-    """Give the lines of a stream without their ends.
+    """Yield the lines of a stream without their line ends.
 
-    A rest without a line end is not given: it was cut.
+    An unterminated last line is dropped, since it was cut off.
     """
-    rest = b''
+    partial = b''
     while chunk := await call.read():
-        *lines, rest = (rest + chunk).split(_NEWLINE)
+        *lines, partial = (partial + chunk).split(_NEWLINE)
         for line in lines:
             if line:
                 yield line
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/plain.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/plain.py
@@ -1,4 +1,4 @@
-"""A plain service behind this endpoint process."""
+"""Client of a plain service."""
 
 from collections.abc import AsyncIterator
 
@@ -8,13 +8,13 @@
 from tornado.httpclient import HTTPRequest
 
 from .base import Backend, Piece, StartGate
-from .stream import CONNECT_SECONDS, SPARE_SECONDS, StreamCall
+from .stream import CONNECT_SECONDS, TIMEOUT_MARGIN_SECONDS, StreamCall
 
-_WITHOUT_BODY = frozenset(('GET', 'HEAD', 'DELETE', 'OPTIONS'))
+_BODYLESS_METHODS = frozenset(('GET', 'HEAD', 'DELETE', 'OPTIONS'))
 
 
 class PlainBackend(Backend):
-    """Makes the call that the caller made, and hands its answer on."""
+    """Repeats the HTTP call of the caller and streams the answer."""
 
     def __init__(self, base_url: str, streams: CurlAsyncHTTPClient) -> None:
         self.base_url = base_url.rstrip('/')
@@ -30,37 +30,37 @@
         call = StreamCall(self.streams, self._request(offer, seconds), gate)
         call.start()
         try:
-            async for piece in _pieces_of(call):
+            async for piece in _read_pieces(call):
                 yield piece
         finally:
             call.abort()
 
     async def cancel(self, request_id: RequestId) -> bool:
-        """Nothing to give up: a plain service holds no memory for us."""
+        """Return True: a plain service holds no memory for a run."""
         return True
 
     def _request(self, offer: Offer, seconds: float) -> HTTPRequest:
-        made = offer.plain_call or PlainCall(method='POST', path='/')
-        path = made.path.lstrip('/')
+        plain_call = offer.plain_call or PlainCall(method='POST', path='/')
+        path = plain_call.path.lstrip('/')
         body = offer.payload or None
-        if body is None and made.method not in _WITHOUT_BODY:
+        if body is None and plain_call.method not in _BODYLESS_METHODS:
             body = b''
         return HTTPRequest(
             f'{self.base_url}/{path}',
-            method=made.method,
+            method=plain_call.method,
             headers={
                 'Request-Id': offer.request_id,
-                'Content-Type': made.content_type,
+                'Content-Type': plain_call.content_type,
             },
             body=body,
             allow_nonstandard_methods=True,
             connect_timeout=CONNECT_SECONDS,
-            request_timeout=seconds + SPARE_SECONDS,
+            request_timeout=seconds + TIMEOUT_MARGIN_SECONDS,
             follow_redirects=False,
         )
 
 
-async def _pieces_of(call: StreamCall) -> AsyncIterator[Piece]:
+async def _read_pieces(call: StreamCall) -> AsyncIterator[Piece]:
     chunk = await call.read()
     reply = PlainReply(call.status, call.content_type)
     yield Piece(chunk, plain_reply=reply)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/stream.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/stream.py
@@ -1,8 +1,8 @@
-"""One streamed HTTP call by tornado's curl client, with back-pressure.
+"""Streamed HTTP calls with back-pressure, by tornado's curl client.
 
-The client's own streaming hands chunks on as fast as they come. Here the
-transfer is paused while the reader is behind, so that a slow caller slows the
-engine instead of filling our memory.
+The streaming interface of the client delivers chunks as fast as they arrive.
+This module pauses the transfer while the reader lags, so that a slow caller
+slows down the engine instead of filling the memory of this process.
 """
 
 import asyncio
@@ -13,17 +13,21 @@
 from tornado.httpclient import HTTPError, HTTPRequest, HTTPResponse
 from tornado.httputil import parse_response_start_line
 
-from ..errors import BackendSilentError, NotStartedError, StreamCutError
+from ..errors import (
+    BackendUnreachableError,
+    NotStartedError,
+    StreamInterruptedError,
+)
 from .base import StartGate
 
-#: Bytes that may wait for the reader before the transfer is paused. One step
-#: of an engine is about a hundred bytes, so this holds seconds of a stream.
+#: Bytes buffered for the reader before the transfer is paused. One step of an
+#: engine is about a hundred bytes, so the buffer holds seconds of a stream.
 BUFFER_BYTES = 65_536
-#: Time to connect to the back end, which runs on the same instance.
+#: Connection timeout, in seconds. The back end runs on the same instance.
 CONNECT_SECONDS = 2.0
-#: Added to the time limit of a run, after which the call ends by itself even
-#: if the task that made it was lost.
-SPARE_SECONDS = 5.0
+#: Time added to the time limit of a run, in seconds. The call then times out
+#: even if the task that started it was lost.
+TIMEOUT_MARGIN_SECONDS = 5.0
 
 
 _STATUS_LINE = 'HTTP/'
@@ -31,14 +35,14 @@
 
 
 class StreamCall:
-    """A call whose answer is read chunk by chunk.
+    """An HTTP call whose answer is read chunk by chunk.
 
     Attributes
     ----------
-    opened
-        Whether any of the body may have been sent.
+    sending_started
+        Whether any part of the body may have been sent.
     status
-        HTTP status of the answer; 0 until its first byte came.
+        HTTP status of the answer; 0 until the status line arrives.
     """
 
     def __init__(
@@ -49,7 +53,7 @@
     ) -> None:
         self.client = client
         self.gate = gate
-        self.opened = False
+        self.sending_started = False
         self.status = 0
         self.content_type = ''
         self.error: Exception | None = None
@@ -57,78 +61,80 @@
         self._body = memoryview(request.body or b'')
         self._curl: pycurl.Curl | None = None
         self._chunks: deque[bytes] = deque()
-        self._waiting = 0
+        self._buffered_bytes = 0
         self._paused = False
         self._aborted = False
         self._ended = False
-        self._wake = asyncio.Event()
-        request.prepare_curl_callback = self._prepare
+        self._data_ready = asyncio.Event()
+        request.prepare_curl_callback = self._configure_curl
 
     def start(self) -> None:
         """Send the request."""
         fetch = self.client.fetch(self._request, raise_error=False)
-        fetch.add_done_callback(self._finish)
+        fetch.add_done_callback(self._on_finished)
 
     async def read(self) -> bytes:
-        """Return the next chunk, or nothing once the answer has ended.
+        """Return the next chunk, or empty bytes at the end of the answer.
 
         Raises
         ------
         NotStartedError
-            If the back end was not reached, or the gate was shut.
-        BackendSilentError, StreamCutError
-            If the connection broke before or after the first byte.
+            If the back end was not reached, or the gate returned False.
+        BackendUnreachableError
+            If the connection broke before the status line of the answer.
+        StreamInterruptedError
+            If the connection broke after the status line of the answer.
         """
         while not self._chunks and not self._ended:
-            self._wake.clear()
-            await self._wake.wait()
+            self._data_ready.clear()
+            await self._data_ready.wait()
         if self._chunks:
             chunk = self._chunks.popleft()
-            self._waiting -= len(chunk)
-            self._continue()
+            self._buffered_bytes -= len(chunk)
+            self._resume_transfer()
             return chunk
-        self._check_end()
+        self._raise_for_failure()
         return b''
 
     def abort(self) -> None:
-        """Break the connection; nothing more is read."""
+        """Close the connection and discard the rest of the answer."""
         self._aborted = True
         self._chunks.clear()
-        self._waiting = 0
-        self._continue()
+        self._buffered_bytes = 0
+        self._resume_transfer()
 
-    def _prepare(self, curl: pycurl.Curl) -> None:
+    def _configure_curl(self, curl: pycurl.Curl) -> None:
         self._curl = curl
-        curl.setopt(pycurl.WRITEFUNCTION, self._write)
-        curl.setopt(pycurl.HEADERFUNCTION, self._note_header)
-        # A kept connection may be closed by the back end just as the request
-        # is sent on it, and libcurl would then send the request a second
-        # time by itself. One would notice a deposit that is recorded twice.
-        # A new connection has no such second try.
+        curl.setopt(pycurl.WRITEFUNCTION, self._receive_chunk)
+        curl.setopt(pycurl.HEADERFUNCTION, self._record_header)
+        # The back end may close a reused connection just as the request is
+        # sent. libcurl would then send the request again on its own, and a
+        # deposit could be recorded twice. On a new connection libcurl does
+        # not retry.
         curl.setopt(pycurl.FRESH_CONNECT, 1)
         curl.setopt(pycurl.FORBID_REUSE, 1)
         if self._body:
             curl.setopt(pycurl.READFUNCTION, self._read_body)
         else:
-            self._open()
+            self._start_sending()
 
     def _read_body(self, size: int) -> bytes | int:
         try:
-            self._open()
+            self._start_sending()
         except NotStartedError:
             return pycurl.READFUNC_ABORT
-        part = bytes(self._body[:size])
+        chunk = bytes(self._body[:size])
         self._body = self._body[size:]
-        return part
+        return chunk
 
-    def _open(self) -> None:
-        if self.opened:
+    def _start_sending(self) -> None:
+        if self.sending_started:
             return
-        self.opened = self.gate()
-        if not self.opened:
-            raise NotStartedError('may not begin')
+        self.sending_started = self.gate()
+        if not self.sending_started:
+            raise NotStartedError('run may no longer start')
 
-    def _note_header(self, line: bytes) -> None:
+    def _record_header(self, line: bytes) -> None:
         text = line.decode('latin-1').strip()
         if text.startswith(_STATUS_LINE):
             self.status = parse_response_start_line(text).code
@@ -136,46 +142,46 @@
         elif text.lower().startswith(_CONTENT_TYPE):
             self.content_type = text[len(_CONTENT_TYPE) :].strip()
 
-    def _write(self, chunk: bytes) -> int:
+    def _receive_chunk(self, chunk: bytes) -> int:
         if self._aborted:
             return 0
-        if self._waiting >= BUFFER_BYTES:
+        if self._buffered_bytes >= BUFFER_BYTES:
             self._paused = True
             return pycurl.WRITEFUNC_PAUSE
         self._chunks.append(chunk)
-        self._waiting += len(chunk)
-        self._wake.set()
+        self._buffered_bytes += len(chunk)
+        self._data_ready.set()
         return len(chunk)
 
-    def _continue(self) -> None:
+    def _resume_transfer(self) -> None:
         if not self._paused or self._ended or self._curl is None:
             return
         self._paused = False
         self._curl.pause(pycurl.PAUSE_CONT)
 
-    def _finish(self, fetch: 'asyncio.Future[HTTPResponse]') -> None:
+    def _on_finished(self, fetch: 'asyncio.Future[HTTPResponse]') -> None:
         self._ended = True
         self._curl = None
-        self._wake.set()
+        self._data_ready.set()
         if fetch.cancelled():
-            self.error = StreamCutError('given up')
+            self.error = StreamInterruptedError('call was cancelled')
             return
         self.error = fetch.exception()
         if self.error is None:
-            self._note_answer(fetch.result())
+            self._record_response(fetch.result())
 
-    def _note_answer(self, response: HTTPResponse) -> None:
-        status_only = isinstance(response.error, HTTPError)
-        if status_only and not isinstance(response.error, CurlError):
-            # An answer with an error status has come whole all the same.
+    def _record_response(self, response: HTTPResponse) -> None:
+        is_http_error = isinstance(response.error, HTTPError)
+        if is_http_error and not isinstance(response.error, CurlError):
+            # An answer with an error status is complete as well.
             return
         self.error = response.error
 
-    def _check_end(self) -> None:
-        if not self.opened:
+    def _raise_for_failure(self) -> None:
+        if not self.sending_started:
             raise NotStartedError(str(self.error))
         if self.error is None:
             return
         if self.status:
-            raise StreamCutError(str(self.error))
-        raise BackendSilentError(str(self.error))
+            raise StreamInterruptedError(str(self.error))
+        raise BackendUnreachableError(str(self.error))
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/cli.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/cli.py
@@ -10,7 +10,7 @@
 
 
 async def serve(settings: EndpointProcessSettings) -> None:
-    """Run one process; its parts need the running event loop."""
+    """Run one process; its parts are created within the running event loop."""
     process = EndpointProcess.from_settings(settings)
     loop = asyncio.get_running_loop()
     for signum in (signal.SIGTERM, signal.SIGINT):
@@ -19,5 +19,5 @@
 
 
 def main() -> None:
-    """Run the binary."""
+    """Run the command line."""
     make_app('sycamore-endpoint', serve, EndpointProcessSettings)()
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/draining.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/draining.py
@@ -1,4 +1,4 @@
-"""Leaving: what the platform's list says, and the wait for the last run."""
+"""Draining: what starts it, and the wait for the last run."""
 
 import asyncio
 
@@ -11,19 +11,19 @@
 from .reports import Reporter
 from .state import EndpointState
 
-#: How often the list of instances is read, in seconds. An endpoint that is
-#: leaving must take no work after two seconds.
-READ_SECONDS = 1.0
-#: How often a process that is leaving looks whether it may end, in seconds.
+#: Interval between reads of the list of instances, in seconds. A leaving
+#: endpoint must accept no work after two seconds.
+INSTANCES_POLL_SECONDS = 1.0
+#: Interval between checks for unfinished runs while draining, in seconds.
 DRAIN_POLL_SECONDS = 0.05
 
 
-class Departure:
-    """Begins to leave, and says when nothing is left to do.
+class DrainController:
+    """Starts to drain this process and waits for its last runs.
 
-    Offers are declined from the moment at which leaving begins, so no new
-    work is taken however late an entry hears of it; the report sent at once
-    only saves it the try.
+    Offers are declined as soon as draining starts, so no new work is accepted
+    even if an entry receives the report late. The report is sent at once only
+    to spare entries a declined offer.
     """
 
     def __init__(
@@ -38,28 +38,28 @@
         self.reporter = reporter
         self.node = node
         self.log = Log('endpoint.leaving')
-        self.begun = asyncio.Event()
+        self.started = asyncio.Event()
 
     def begin(self, cause: str) -> None:
-        """Take no new work from now on, and tell all peers."""
+        """Accept no new work from now on, and report this to all peers."""
         if self.state.leaving:
             return
         self.state.leaving = True
         self.log.info('leaving', cause=cause)
-        self.begun.set()
-        self.tell()
+        self.started.set()
+        self.send_reports()
 
-    def tell(self) -> None:
-        """Send a report to all peers at once."""
+    def send_reports(self) -> None:
+        """Send a load report to all peers immediately."""
         report = self.reporter.report()
         for peer in tuple(self.node.peers.values()):
             peer.post(report)
 
-    async def watch(self, source: InstanceSource) -> None:
+    async def watch_instances(self, source: InstanceSource) -> None:
         """Read the list of instances until cancelled.
 
-        The list lags and may be stale: that it does not name this endpoint
-        means nothing, only that it names it as leaving does.
+        The list lags and may be stale. Only a row that marks this endpoint as
+        leaving starts to drain it; a missing row is ignored.
         """
         while True:
             try:
@@ -71,12 +71,12 @@
                 leaving = row.state is InstanceState.LEAVING
                 if row.instance == self.state.name and leaving:
                     self.begin('instance list')
-            await asyncio.sleep(READ_SECONDS)
+            await asyncio.sleep(INSTANCES_POLL_SECONDS)
 
-    async def finish(self, seconds: float) -> None:
-        """Wait until every answer was taken, `seconds` at most."""
-        until = self.state.clock.monotonic() + seconds
-        while self.state.clock.monotonic() < until:
+    async def wait_until_drained(self, seconds: float) -> None:
+        """Wait until all answers are acknowledged, at most `seconds`."""
+        deadline = self.state.clock.monotonic() + seconds
+        while self.state.clock.monotonic() < deadline:
             if not self.runs.unfinished():
                 return
             await asyncio.sleep(DRAIN_POLL_SECONDS)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/engine_watch.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/engine_watch.py
@@ -1,4 +1,4 @@
-"""Reading of what the engine holds, and repair of what differs."""
+"""Polling of the engine, and reconciliation of its memory with the ledger."""
 
 import asyncio
 from collections.abc import Mapping
@@ -13,15 +13,16 @@
 from .reports import EngineLoad, Reporter
 from .state import EndpointState
 
-#: How often the engine is read, in seconds. Entries are told every second, so
-#: twice as often bounds the age of what they hear; a read takes milliseconds.
-READ_SECONDS = 0.5
-#: Reads that may fail one after the other before the engine counts as gone:
-#: two seconds, in which a busy engine that is late once has answered again.
-FAILURES_TOLERATED = 4
-#: Blocks told to entries: a few, since they ride on each load report.
-BLOCKS_TOLD = 64
-_STORED = 'stored'
+#: Interval between reads of the engine, in seconds. Entries receive a report
+#: every second, so two reads a second bound the age of the reported load. A
+#: read takes milliseconds.
+ENGINE_POLL_SECONDS = 0.5
+#: Consecutive failed reads after which the engine counts as unavailable. They
+#: span two seconds, within which a busy engine that is late once answers again.
+FAILED_READS_UNTIL_UNREADY = 4
+#: Largest number of cached blocks in a load report; each report carries them.
+MAX_REPORTED_BLOCKS = 64
+_BLOCK_STORED = 'stored'
 
 
 class SpanRow(msgspec.Struct, frozen=True):
@@ -53,14 +54,17 @@
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """Cache events after a number; late, and some are missing."""
+    """Cache events after a given number.
+
+    They arrive late, and some are missing.
+    """
 
     last: int = 0
     events: tuple[CacheEvent, ...] = ()
 
 
 class EngineWatch:
-    """Keeps ledger and engine in step; one task."""
+    """Polls the engine and reconciles the ledger with it, in one task."""
 
     def __init__(
         self,
@@ -75,92 +79,93 @@
         self.control = control
         self.log = Log('endpoint.engine')
         self.last_event = 0
-        self._failures = 0
+        self._failed_reads = 0
         self.blocks: dict[int, None] = {}
 
     async def run(self) -> None:
-        """Read the engine again and again until cancelled."""
+        """Poll the engine until cancelled."""
         while True:
             try:
                 await self.read_once()
             except BackendError as error:
-                self._note_failure(error)
+                self._record_failure(error)
             else:
-                self._note_answer()
-            await asyncio.sleep(READ_SECONDS)
+                self._record_success()
+            await asyncio.sleep(ENGINE_POLL_SECONDS)
 
     async def read_once(self) -> None:
-        """Read the engine once and repair what differs.
+        """Read the engine once and reconcile the ledger with it.
 
         Raises
         ------
         BackendError
             If the engine does not answer.
         """
-        asked_at = self.state.clock.monotonic()
+        requested_at = self.state.clock.monotonic()
         load = await self.control.read('/v1/load', EngineLoad)
         rows = await self.control.read('/v1/spans', tuple[SpanRow, ...])
         self.reporter.load = load
-        await self._repair(_usage(load, rows), asked_at)
+        await self._reconcile(_engine_usage(load, rows), requested_at)
         await self._read_events()
 
-    def _note_answer(self) -> None:
-        if self._failures:
+    def _record_success(self) -> None:
+        if self._failed_reads:
             self.log.info('engine_readable')
-        self._failures = 0
+        self._failed_reads = 0
         self.state.ready = True
 
-    def _note_failure(self, error: BackendError) -> None:
-        """Take no new work while the engine does not answer.
+    def _record_failure(self, error: BackendError) -> None:
+        """Accept no new work while the engine does not answer.
 
-        What goes wrong otherwise: an engine dies, its endpoint process lives
-        on and reports the memory it had; requests are offered here, fail, and
-        a prompt that only this engine had room for waits until its time limit.
+        Without this, the endpoint process of a dead engine would keep
+        reporting its former memory. Requests would be offered here and fail,
+        and a prompt that fits only this engine would wait until its time
+        limit.
         """
-        self._failures += 1
-        if self._failures == 1:
+        self._failed_reads += 1
+        if self._failed_reads == 1:
             self.log.warning('engine_unreadable', error=str(error))
-        if self._failures >= FAILURES_TOLERATED:
+        if self._failed_reads >= FAILED_READS_UNTIL_UNREADY:
             self.state.ready = False
 
-    async def _repair(
+    async def _reconcile(
         self,
         usage: Mapping[LeaseKey, int],
-        asked_at: float,
+        requested_at: float,
     ) -> None:
         now = self.state.clock.monotonic()
-        found = self.memory.reconcile(usage, asked_at, now)
-        giving_up = (
+        found = self.memory.reconcile(usage, requested_at, now)
+        still_held = (
             key
             for key, lease in self.memory.leases.items()
             if lease.releasing and key in usage
         )
-        for key in (*found.unknown, *giving_up):
+        for key in (*found.unknown, *still_held):
             self.log.warning('engine_holds', kind=key.kind, name=key.name)
             await free_in_engine(self.control, key)
 
     async def _read_events(self) -> None:
         path = f'/v1/events?after={self.last_event}'
-        news = await self.control.read(path, CacheEvents)
-        if news.last < self.last_event:
-            # The engine was restarted: what it cached is gone.
+        cache_events = await self.control.read(path, CacheEvents)
+        if cache_events.last < self.last_event:
+            # The engine was restarted and has lost its cache.
             self.blocks.clear()
-        self.last_event = news.last
-        for event in news.events:
+        self.last_event = cache_events.last
+        for event in cache_events.events:
             self.blocks.pop(event.block, None)
-            if event.kind == _STORED:
+            if event.kind == _BLOCK_STORED:
                 self.blocks[event.block] = None
-        newest = list(self.blocks)[-BLOCKS_TOLD:]
+        newest = list(self.blocks)[-MAX_REPORTED_BLOCKS:]
         self.reporter.cached_blocks = tuple(reversed(newest))
 
 
 async def free_in_engine(control: ControlClient, key: LeaseKey) -> None:
-    """Make the engine free what it holds for `key`.
+    """Make the engine free the memory that it holds for `key`.
 
     Raises
     ------
     BackendError
-        If it does not answer.
+        If the engine does not answer.
     """
     if key.kind is LeaseKind.RUN:
         body = CancelBody(key.name)
@@ -170,13 +175,13 @@
         await control.send('/v1/spans/release', released, ReleaseAnswer)
 
 
-def _usage(
+def _engine_usage(
     load: EngineLoad,
     rows: tuple[SpanRow, ...],
 ) -> Mapping[LeaseKey, int]:
     usage = {
-        LeaseKey(LeaseKind.RUN, held.request_id): held.tokens
-        for held in load.requests
+        LeaseKey(LeaseKind.RUN, request.request_id): request.tokens
+        for request in load.requests
     }
     for row in rows:
         usage[LeaseKey(LeaseKind.SPAN, row.group, row.span)] = row.tokens
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/fleet.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/fleet.py
@@ -1,4 +1,4 @@
-"""What the published settings say of this endpoint."""
+"""The part of the published settings that concerns this endpoint."""
 
 import msgspec
 from sycamore_core.errors import SettingsError
@@ -11,7 +11,7 @@
 
 
 class OwnSettings(msgspec.Struct, frozen=True):
-    """What one settings version says of this endpoint."""
+    """The settings of this endpoint in one settings version."""
 
     fleet: FleetSettings
     endpoint: EndpointSettings
@@ -36,4 +36,6 @@
             service = workspace.services.get(endpoint.service)
             if service is not None:
                 return cls(fleet, endpoint, service)
-        raise SettingsError(f'services.{endpoint.service}: in no workspace')
+        raise SettingsError(
+            f'services.{endpoint.service}: not in any workspace'
+        )
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/housekeeping.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/housekeeping.py
@@ -1,4 +1,4 @@
-"""What falls due by time alone: deadlines, leases, silent entries."""
+"""Periodic work: deadlines, leases and silent entries."""
 
 import asyncio
 
@@ -8,17 +8,17 @@
 from .ledger import OwnerLeases, RunRecord
 from .runner import Runner
 
-#: How often the clock is looked at, in seconds. Deadlines are seconds.
+#: Interval between ticks, in seconds. Deadlines last seconds.
 TICK_SECONDS = 0.25
-#: A frame not acknowledged for this many ticks is posted again, so that an
-#: entry notices the loss of the last frames of a stream.
+#: Interval between resends of unacknowledged last frames, in ticks. A resent
+#: frame lets an entry detect the loss of the last frames of a stream.
 RESEND_TICKS = 8
-#: How often what is out of time is dropped, in ticks.
-FORGET_TICKS = 40
+#: Interval between removals of expired records, in ticks.
+CLEANUP_TICKS = 40
 
 
 class Housekeeping:
-    """Looks at the clock a few times a second; one task."""
+    """Does the work that depends on time alone, in one task."""
 
     def __init__(
         self,
@@ -41,23 +41,23 @@
             await asyncio.sleep(TICK_SECONDS)
 
     def tick(self) -> None:
-        """Do what is due now."""
+        """Do the work that is due now."""
         now = self.runner.clock.monotonic()
         self.ticks += 1
         self.owners.tick(now)
         self.runner.admission.keys.look()
         for record in self.runs.overdue(now):
-            self._give_up(record, CancelReason.DEADLINE)
-        for record in self._orphans(now):
+            self._stop_run(record, CancelReason.DEADLINE)
+        for record in self._orphaned_runs(now):
             self.runs.end(record, Outcome.CANCELLED)
-            self._give_up(record, CancelReason.ENTRY_SILENT)
+            self._stop_run(record, CancelReason.ENTRY_SILENT)
         self.memory.expire(now)
         if self.ticks % RESEND_TICKS == 0:
-            self._post_again()
-        if self.ticks % FORGET_TICKS == 0:
-            self._forget(now)
+            self._resend_unacknowledged()
+        if self.ticks % CLEANUP_TICKS == 0:
+            self._drop_expired(now)
 
-    def _orphans(self, now: float) -> list[RunRecord]:
+    def _orphaned_runs(self, now: float) -> list[RunRecord]:
         return [
             record
             for record in self.runs.in_progress()
@@ -65,7 +65,7 @@
             and self.owners.is_gone(record.owner, now)
         ]
 
-    def _give_up(self, record: RunRecord, reason: CancelReason) -> None:
+    def _stop_run(self, record: RunRecord, reason: CancelReason) -> None:
         self.metrics.cancelled(reason)
         self.log.info(
             'run_given_up',
@@ -74,12 +74,12 @@
         )
         self.runner.stop(record)
 
-    def _post_again(self) -> None:
+    def _resend_unacknowledged(self) -> None:
         for record in self.runs.unfinished():
             self.runner.post_latest(record)
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         self.runs.forget(now)
         records = self.runs.records.values()
-        kept = (run.owner for run in records if run.owner is not None)
-        self.owners.forget(kept, now)
+        owners = (run.owner for run in records if run.owner is not None)
+        self.owners.forget(owners, now)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/desk.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/message_handler.py
@@ -1,4 +1,4 @@
-"""Answers to what entries ask for: offers, withdrawals, acknowledgements."""
+"""Handling of messages from entries."""
 
 import functools
 
@@ -29,8 +29,8 @@
 from .runner import Runner
 
 
-class Desk:
-    """Handles the messages of entries, one after the other.
+class MessageHandler:
+    """Handles the messages of entries in the order of arrival.
 
     Attributes
     ----------
@@ -64,31 +64,32 @@
             received = await peer.take()
             self.owners.hear(owner_of(peer), self.runner.clock.monotonic())
             try:
-                self._handle(received, peer)
+                self._dispatch(received, peer)
             except SycamoreError as error:
-                # One message that cannot be handled must not make this
-                # process deaf to its sender, whose runs would all be lost.
+                # A message that cannot be handled must not end this loop: no
+                # later message of the sender would be read, and all its runs
+                # would be lost.
                 self.log.error('message_failed', error=repr(error))
 
     @functools.singledispatchmethod
     def handle(self, message: Message, peer: Peer) -> None:
-        """Handle a message that no method below is for."""
+        """Handle a message without a handler of its own as a group message."""
         if self.groups is not None:
             self.groups.handle(message, peer)
 
-    def take_offer(self, message: Offer, peer: Peer, sent_at: float) -> None:
-        """Accept or decline an offer, and begin to run it."""
+    def handle_offer(self, message: Offer, peer: Peer, sent_at: float) -> None:
+        """Accept or decline an offer, and start an accepted run."""
         owner = owner_of(peer)
-        answer = self.admission.consider(message, owner, sent_at)
+        answer = self.admission.decide(message, owner, sent_at)
         peer.post(answer)
         if isinstance(answer, Declined):
-            self._note_declined(message, answer)
+            self._record_declined(message, answer)
             return
-        self._go_on(message, answer)
+        self._launch_accepted(message, answer)
 
     @handle.register
-    def take_withdraw(self, message: Withdraw, peer: Peer) -> None:
-        """Bar a request and say what is known of it."""
+    def handle_withdraw(self, message: Withdraw, peer: Peer) -> None:
+        """Bar a request from running here and report its execution."""
         now = self.runner.clock.monotonic()
         owner = owner_of(peer)
         report = self.runs.withdraw(
@@ -103,8 +104,8 @@
         peer.post(report)
 
     @handle.register
-    def take_attach(self, message: Attach, peer: Peer) -> None:
-        """Move an answer to the entry that asks for it."""
+    def handle_attach(self, message: Attach, peer: Peer) -> None:
+        """Send the rest of an answer to the entry that attaches to it."""
         owner = owner_of(peer)
         peer.post(self.runs.attach(message.request_id, owner, message.after))
         record = self.runs.find(message.request_id)
@@ -112,8 +113,8 @@
             self.runner.post_due(record)
 
     @handle.register
-    def take_ack(self, message: Ack, peer: Peer) -> None:
-        """Move the window of an answer."""
+    def handle_ack(self, message: Ack, peer: Peer) -> None:
+        """Advance the send window of an answer."""
         record = self.runs.acknowledge(
             message.request_id,
             message.sequence,
@@ -123,8 +124,8 @@
             self.runner.post_due(record)
 
     @handle.register
-    def take_cancel(self, message: Cancel, peer: Peer) -> None:
-        """Give a run up."""
+    def handle_cancel(self, message: Cancel, peer: Peer) -> None:
+        """Cancel a run."""
         record = self.runs.cancel(
             message.request_id,
             message.reason,
@@ -135,13 +136,16 @@
             self.runner.stop(record)
 
     @handle.register
-    def take_reserve(self, message: Reserve, peer: Peer) -> None:
-        """Mint a bound id."""
+    def handle_reserve(self, message: Reserve, peer: Peer) -> None:
+        """Create a request id that is bound to this process."""
         peer.post(self.reservations.reserve(message))
 
     @handle.register
-    def take_heartbeat(self, message: Heartbeat, peer: Peer) -> None:
-        """Answer a sign of life with the load."""
+    def handle_heartbeat(self, message: Heartbeat, peer: Peer) -> None:
+        """Answer a heartbeat with a load report.
+
+        Also requests the settings if the peer has newer ones.
+        """
         peer.post(self.reporter.report(), urgent=False)
         claim = SettingsClaim.from_message(message)
         wanted = self.reporter.keeper.wanted_above(claim)
@@ -149,24 +153,26 @@
             peer.post(wanted)
 
     @handle.register
-    def take_settings(self, message: SettingsBody, peer: Peer) -> None:
-        """Take newer settings from a peer."""
+    def handle_settings_body(self, message: SettingsBody, peer: Peer) -> None:
+        """Apply newer settings from a peer."""
         self.reporter.keeper.offer_from_peer(message, peer.address)
 
     @handle.register
-    def take_question(self, message: SettingsWanted, peer: Peer) -> None:
-        """Send the settings in force to a peer that has older ones."""
+    def handle_settings_wanted(
+        self, message: SettingsWanted, peer: Peer
+    ) -> None:
+        """Send the current settings to a peer that has older ones."""
         body = self.reporter.keeper.answer(message)
         if body is not None:
             peer.post(body)
 
-    def _handle(self, received: Received, peer: Peer) -> None:
+    def _dispatch(self, received: Received, peer: Peer) -> None:
         if isinstance(received.message, Offer):
-            self.take_offer(received.message, peer, received.sent_at)
+            self.handle_offer(received.message, peer, received.sent_at)
         else:
             self.handle(received.message, peer)
 
-    def _go_on(self, offer: Offer, accepted: Accepted) -> None:
+    def _launch_accepted(self, offer: Offer, accepted: Accepted) -> None:
         record = self.runs.find(offer.request_id)
         if record is None:
             return
@@ -182,7 +188,7 @@
         )
         self.runner.launch(record)
 
-    def _note_declined(self, offer: Offer, declined: Declined) -> None:
+    def _record_declined(self, offer: Offer, declined: Declined) -> None:
         self.metrics.refused(declined.reason)
         self.log.info(
             'declined',
@@ -195,5 +201,5 @@
 
 
 def owner_of(peer: Peer) -> Owner:
-    """Return the entry process at the other end."""
+    """Return the entry process that a peer connection belongs to."""
     return Owner(peer.address, peer.ages.incarnation)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/pages.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/pages.py
@@ -7,34 +7,34 @@
 
 
 class HealthHandler(RequestHandler):
-    """Tells in which phase the process is."""
+    """Serves the phase of the process."""
 
     def initialize(self, state: EndpointState) -> None:
-        """Take what the handler shows."""
+        """Set the state that is shown."""
         self.state = state
 
     def get(self) -> None:
-        """Answer the phase as JSON."""
+        """Write the phase as JSON."""
         self.write(
             {'endpoint': self.state.name, 'phase': self.state.phase.value},
         )
 
 
 class MetricsHandler(RequestHandler):
-    """Serves the Prometheus page."""
+    """Serves the metrics in the Prometheus text format."""
 
     def initialize(self, metrics: Metrics) -> None:
-        """Take what the handler shows."""
+        """Set the metrics that are shown."""
         self.metrics = metrics
 
     def get(self) -> None:
-        """Answer the page."""
+        """Write the metrics."""
         self.set_header('Content-Type', 'text/plain; version=0.0.4')
         self.write(self.metrics.page())
 
 
 def make_application(state: EndpointState, metrics: Metrics) -> Application:
-    """Return the pages of one endpoint process."""
+    """Return the web application of one endpoint process."""
     return Application(
         [
             ('/healthz', HealthHandler, {'state': state}),
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
@@ -1,4 +1,4 @@
-"""The parts of one endpoint process, put together."""
+"""Construction of the parts of one endpoint process."""
 
 import dataclasses
 import time
@@ -13,7 +13,7 @@
 from sycamore_core.telemetry import Gauge, Metrics
 from sycamore_core.transport import Node, NodeAddress, Peer
 
-from .gate import Gate, make_gate
+from .backend_parts import BackendParts, make_backend_parts
 from .keys.keeper import KeyKeeper
 from .ledger import MemoryLedger, RunLedger
 from .reports import Reporter
@@ -23,7 +23,14 @@
 
 @dataclasses.dataclass
 class EndpointParts:
-    """What is there before the first settings: ledgers, node and keeper."""
+    """The parts of one endpoint process.
+
+    Attributes
+    ----------
+    backend_parts
+        The parts that depend on the kind of the back end; None until the
+        first settings name it.
+    """
 
     settings: EndpointProcessSettings
     state: EndpointState
@@ -35,7 +42,7 @@
     reservations: Reservations
     keys: KeyKeeper
     metrics: Metrics
-    gate: Gate | None = None
+    backend_parts: BackendParts | None = None
 
     @classmethod
     def from_settings(
@@ -43,7 +50,7 @@
         settings: EndpointProcessSettings,
         clock: Clock,
     ) -> Self:
-        """Put the parts of one process together."""
+        """Create the parts of one process."""
         keys = PeerKeys.from_files(
             settings.peer_keys.files,
             settings.peer_keys.signing,
@@ -75,11 +82,11 @@
             metrics=metrics,
         )
         node.serve_peer = parts.serve_peer
-        parts.show()
+        parts.register_metrics()
         return parts
 
-    def show(self) -> None:
-        """Put the state of the moment on the metrics page."""
+    def register_metrics(self) -> None:
+        """Register the gauges and transport counters of this process."""
         self.metrics.watch_transport(self.node.counts)
         memory = self.memory
         self.metrics.watch(Gauge.LEASES, lambda: len(memory.leases))
@@ -91,25 +98,25 @@
     async def serve_peer(self, peer: Peer) -> None:
         """Handle the messages of one peer until cancelled."""
         await self.keeper.wait_first(self.settings.start_seconds)
-        if self.gate is not None:
-            await self.gate.desk.serve(peer)
+        if self.backend_parts is not None:
+            await self.backend_parts.message_handler.serve(peer)
 
-    def take_settings(self, fleet: FleetSettings) -> None:
-        """Take settings into force; the first ones say what stands behind.
+    def apply_settings(self, fleet: FleetSettings) -> None:
+        """Apply settings; the first ones determine the kind of the back end.
 
         Raises
         ------
         SettingsError
-            If they do not list this endpoint.
+            If the settings do not list this endpoint.
         """
-        self.state.adopt(fleet)
+        self.state.apply_settings(fleet)
         own = self.state.own
         if own is None:
             return
         self.keys.look()
         self.memory.capacity_tokens = own.endpoint.capacity_tokens
-        if self.gate is None:
-            self.gate = make_gate(self, own.service.kind)
+        if self.backend_parts is None:
+            self.backend_parts = make_backend_parts(self, own.service.kind)
 
 
 def _make_node(
@@ -124,9 +131,9 @@
         NodeAddress(settings.listen, advertise),
         codec,
         clock,
-        _serve_nobody,
+        _ignore_peer,
     )
 
 
-async def _serve_nobody(peer: Peer) -> None:
-    """Stand for the handler of peers until the parts are put together."""
+async def _ignore_peer(peer: Peer) -> None:
+    """Stand in for the peer handler until all parts are created."""
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/process.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/process.py
@@ -1,4 +1,4 @@
-"""The endpoint process: its start, its tasks and its end."""
+"""The endpoint process: start, tasks and shutdown."""
 
 import asyncio
 from typing import Self
@@ -10,12 +10,11 @@
 from sycamore_core.telemetry import Log
 from tornado.httpserver import HTTPServer
 
-from .draining import Departure
+from .draining import DrainController
 from .pages import make_application
 from .parts import EndpointParts
 
-#: Time for the last messages to leave before the sockets are closed, in
-#: seconds.
+#: Time to send the last messages before the sockets are closed, in seconds.
 _LINGER_SECONDS = 0.1
 
 
@@ -26,7 +25,7 @@
         self.parts = parts
         self.settings = parts.settings
         self.log = Log('endpoint')
-        self.departure = Departure(
+        self.drain = DrainController(
             parts.state,
             parts.runs,
             parts.reporter,
@@ -36,22 +35,22 @@
 
     @classmethod
     def from_settings(cls, settings: EndpointProcessSettings) -> Self:
-        """Return a process with the parts that the settings ask for."""
+        """Return a process with the parts that its settings require."""
         return cls(EndpointParts.from_settings(settings, SystemClock()))
 
     def stop(self) -> None:
-        """Begin to leave; `run` returns when nothing is in progress."""
-        self.departure.begin('signal')
+        """Start to drain; `run` returns when no run is in progress."""
+        self.drain.begin('signal')
 
     async def run(self) -> None:
-        """Serve until told to leave, then let what is in progress finish."""
+        """Serve until the process drains, then finish the runs in progress."""
         self.parts.node.start()
         server = self._listen()
         await self._start_tasks()
-        await self._wait_for_end()
-        await self.departure.finish(self.settings.drain_seconds)
+        await self._wait_until_draining()
+        await self.drain.wait_until_drained(self.settings.drain_seconds)
         await asyncio.sleep(_LINGER_SECONDS)
-        await self._end_tasks()
+        await self._stop_tasks()
         if server is not None:
             server.stop()
         self.log.info('endpoint_stopped')
@@ -66,42 +65,44 @@
 
     async def _start_tasks(self) -> None:
         keeper = self.parts.keeper
-        keeper.listen(self.parts.take_settings)
+        keeper.listen(self.parts.apply_settings)
         self._tasks.append(asyncio.create_task(keeper.run()))
         if self.settings.instances_url:
             source = HttpInstanceSource(self.settings.instances_url)
-            watch = asyncio.create_task(self.departure.watch(source))
+            watch = asyncio.create_task(self.drain.watch_instances(source))
             self._tasks.append(watch)
         try:
             await keeper.wait_first(self.settings.start_seconds)
         except PlatformError as error:
             self.log.error('settings_missing', reason=str(error))
-        gate = self.parts.gate
-        if gate is None:
-            self.departure.begin('no usable settings')
+        backend_parts = self.parts.backend_parts
+        if backend_parts is None:
+            self.drain.begin('no usable settings')
             return
-        self._tasks.append(asyncio.create_task(gate.housekeeping.run()))
-        for part in (gate.watch, gate.orders):
+        self._tasks.append(
+            asyncio.create_task(backend_parts.housekeeping.run())
+        )
+        for part in (backend_parts.watch, backend_parts.orders):
             if part is not None:
                 self._tasks.append(asyncio.create_task(part.run()))
         self.log.info('endpoint_ready', settings_version=keeper.version)
 
-    async def _wait_for_end(self) -> None:
-        """Return when told to leave, or when one of the tasks has failed."""
-        begun = asyncio.create_task(self.departure.begun.wait())
+    async def _wait_until_draining(self) -> None:
+        """Wait until draining starts or a task has failed."""
+        drain_started = asyncio.create_task(self.drain.started.wait())
         ended, _ = await asyncio.wait(
-            (begun, *self._tasks),
+            (drain_started, *self._tasks),
             return_when=asyncio.FIRST_COMPLETED,
         )
-        for task in ended.difference({begun}):
+        for task in ended.difference({drain_started}):
             self.log.error('task_failed', error=repr(task.exception()))
-            self.departure.begin('task failed')
-        begun.cancel()
+            self.drain.begin('task failed')
+        drain_started.cancel()
 
-    async def _end_tasks(self) -> None:
+    async def _stop_tasks(self) -> None:
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        if self.parts.gate is not None:
-            await self.parts.gate.runner.close()
+        if self.parts.backend_parts is not None:
+            await self.parts.backend_parts.runner.close()
         await self.parts.node.close()
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/reports.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/reports.py
@@ -1,4 +1,4 @@
-"""The load that this endpoint process tells the entries."""
+"""Load reports of this endpoint process to the entries."""
 
 import msgspec
 from sycamore_core.ids import ServiceId
@@ -10,7 +10,7 @@
 
 
 class EngineLoad(msgspec.Struct, frozen=True):
-    """What an engine said of itself; all but its requests lags."""
+    """Load that an engine reports; all fields except `requests` lag."""
 
     running: int = 0
     waiting: int = 0
@@ -36,7 +36,7 @@
     load
         The last load that the engine reported.
     cached_blocks
-        Blocks that the engine said it caches, newest first.
+        Blocks that the engine reports as cached, newest first.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self.cached_blocks: tuple[int, ...] = ()
 
     def report(self) -> LoadReport:
-        """Return the report of this moment."""
+        """Return a report of the current load."""
         own = self.state.own
         claim = self.keeper.claim
         service = ServiceId('') if own is None else own.endpoint.service
@@ -87,9 +87,10 @@
         own = self.state.own
         if own is None:
             return 0
-        largest = own.fleet.policy.bands.long
+        long_band_tokens = own.fleet.policy.bands.long
         return sum(
             lease.tokens
             for lease in self.memory.leases.values()
-            if lease.key.kind is LeaseKind.SPAN or lease.tokens > largest
+            if lease.key.kind is LeaseKind.SPAN
+            or lease.tokens > long_band_tokens
         )
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/reservations.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/reservations.py
@@ -1,4 +1,4 @@
-"""Ids that are bound to this endpoint process."""
+"""Request ids that are bound to this endpoint process."""
 
 import secrets
 
@@ -15,7 +15,7 @@
 
 
 class Reservations:
-    """Mints bound ids and tells whether an offer may use its id here."""
+    """Creates bound ids and checks the ids of offers."""
 
     def __init__(
         self,
@@ -32,9 +32,9 @@
         self.clock = clock
 
     def reserve(self, wanted: Reserve) -> Reserved:
-        """Mint an id and record it; nothing runs.
+        """Create an id and record it; no run starts.
 
-        A repeated message gets another id. The first one expires unused.
+        A repeated message gets another id. The first id expires unused.
         """
         now = self.clock.monotonic()
         request_id = self._mint(wanted, now)
@@ -45,11 +45,12 @@
             expires_in=RESERVATION_SECONDS,
         )
 
-    def objection(self, offer: Offer) -> RefusalReason | None:
-        """Return why the id of an offer may not be used here.
+    def refusal_reason(self, offer: Offer) -> RefusalReason | None:
+        """Return why the id of an offer may not be used here, or None.
 
-        What counts is what the id says of itself, not the flag of the offer:
-        a bound id that another endpoint ran on that flag would run twice.
+        The claims in the id decide, not the flag of the offer: otherwise a
+        bound id with a wrong flag would run at another endpoint too, and the
+        request would run twice.
         """
         try:
             claims = self.signer.read(offer.request_id)
@@ -60,11 +61,11 @@
         bound = claims.kind is IdKind.BOUND
         if bound != offer.bound:
             return RefusalReason.FORGED_REQUEST_ID
-        if bound and not self._is_own(claims):
+        if bound and not self._is_minted_here(claims):
             return RefusalReason.WRONG_INCARNATION
         return None
 
-    def _is_own(self, claims: RequestClaims) -> bool:
+    def _is_minted_here(self, claims: RequestClaims) -> bool:
         same_process = claims.minter == self.name
         return same_process and claims.incarnation == self.incarnation
 
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
@@ -1,4 +1,4 @@
-"""Carrying out accepted runs: one task for each."""
+"""Execution of accepted runs, one task for each run."""
 
 import asyncio
 from contextlib import aclosing
@@ -20,12 +20,12 @@
 
 
 class Runner:
-    """Runs what the ledger has accepted and posts the answers.
+    """Executes the accepted runs of the ledger and sends their answers.
 
     Parameters
     ----------
     runs, memory
-        The ledgers; every change to them is made without a wait in between.
+        The ledgers. Each change to them is made without a suspension point.
     node
         Sends the frames.
     """
@@ -46,18 +46,18 @@
         self.clock = admission.state.clock
         self.log = Log('endpoint.run')
         self.tasks: dict[RequestId, asyncio.Task[None]] = {}
-        self._room: dict[RequestId, asyncio.Event] = {}
-        self._clearing: set[asyncio.Task[None]] = set()
+        self._window_events: dict[RequestId, asyncio.Event] = {}
+        self._cleanup_tasks: set[asyncio.Task[None]] = set()
 
     def launch(self, record: RunRecord) -> None:
-        """Begin the task of an accepted run."""
-        self._room[record.request_id] = asyncio.Event()
+        """Start the task of an accepted run."""
+        self._window_events[record.request_id] = asyncio.Event()
         task = asyncio.create_task(self._run(record))
         self.tasks[record.request_id] = task
-        task.add_done_callback(lambda _: self._leave(record, task))
+        task.add_done_callback(lambda _: self._on_task_done(record, task))
 
     def post_due(self, record: RunRecord) -> None:
-        """Post the frames that the window allows to the owner."""
+        """Send to the owner the frames that its window allows."""
         answer, owner = record.answer, record.owner
         if answer is None or owner is None:
             return
@@ -65,16 +65,16 @@
         for frame in answer.due():
             first_or_last = frame.sequence == 0 or frame.close is not None
             peer.post(frame, urgent=first_or_last)
-        room = self._room.get(record.request_id)
-        if room is not None and answer.has_room:
-            room.set()
+        window_open = self._window_events.get(record.request_id)
+        if window_open is not None and answer.has_room:
+            window_open.set()
 
     def post_latest(self, record: RunRecord) -> None:
-        """Post the last frame again if it was not acknowledged.
+        """Resend the last frame if it was not acknowledged.
 
-        What goes wrong: the last packets of a stream are lost, no later frame
-        shows the gap, and the caller waits to its deadline for an answer that
-        is whole here. The repeated frame shows the entry what it misses.
+        If the last packets of a stream are lost, no later frame reveals the
+        gap. Without the resent frame, the caller would wait until its deadline
+        for an answer that is complete here.
         """
         if record.answer is None or record.owner is None:
             return
@@ -83,29 +83,29 @@
             self.node.peer(record.owner.address).post(frame, urgent=False)
 
     def stop(self, record: RunRecord) -> None:
-        """End the task of a run that the ledger has ended."""
+        """Cancel the task of a run that has ended in the ledger."""
         task = self.tasks.get(record.request_id)
         if task is not None:
             task.cancel()
         self.post_due(record)
 
     async def close(self) -> None:
-        """End all tasks."""
-        tasks = [*self.tasks.values(), *self._clearing]
+        """Cancel all tasks and wait for their end."""
+        tasks = [*self.tasks.values(), *self._cleanup_tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _run(self, record: RunRecord) -> None:
         try:
-            await self._answer(record)
+            await self._stream_answer(record)
         except BackendError as error:
-            if isinstance(error, _NOT_RUN):
+            if isinstance(error, _NOT_RUN_ERRORS):
                 self.runs.not_started(record)
-            self._fail(record, error, _reason_of(error))
+            self._fail(record, error, _refusal_reason(error))
         self.post_due(record)
 
-    async def _answer(self, record: RunRecord) -> None:
+    async def _stream_answer(self, record: RunRecord) -> None:
         offer = record.offer
         if offer is None:
             return
@@ -116,19 +116,19 @@
         )
         async with aclosing(pieces):
             async for piece in pieces:
-                await self._hand_on(record, piece)
+                await self._forward(record, piece)
         self.runs.end(record, Outcome.COMPLETE)
 
-    async def _hand_on(self, record: RunRecord, piece: Piece) -> None:
+    async def _forward(self, record: RunRecord, piece: Piece) -> None:
         answer = record.answer
         if answer is None:
             return
         answer.add(piece.payload, piece.tokens, piece.plain_reply)
         self.post_due(record)
-        room = self._room[record.request_id]
+        window_open = self._window_events[record.request_id]
         while not answer.has_room:
-            room.clear()
-            await room.wait()
+            window_open.clear()
+            await window_open.wait()
 
     def _fail(
         self,
@@ -144,10 +144,12 @@
         )
         self.runs.end(record, Outcome.FAILED, reason)
 
-    def _leave(self, record: RunRecord, task: 'asyncio.Task[None]') -> None:
+    def _on_task_done(
+        self, record: RunRecord, task: 'asyncio.Task[None]'
+    ) -> None:
         if self.tasks.get(record.request_id) is task:
             self.tasks.pop(record.request_id)
-            self._room.pop(record.request_id, None)
+            self._window_events.pop(record.request_id, None)
         if not task.cancelled() and task.exception() is not None:
             self.log.error('run_task', error=repr(task.exception()))
             self.runs.end(
@@ -156,15 +158,15 @@
                 RefusalReason.BACKEND_FAILED,
             )
             self.post_due(record)
-        clearing = asyncio.create_task(self._clear(record))
-        self._clearing.add(clearing)
-        clearing.add_done_callback(self._clearing.discard)
+        cleanup = asyncio.create_task(self._release_memory(record))
+        self._cleanup_tasks.add(cleanup)
+        cleanup.add_done_callback(self._cleanup_tasks.discard)
 
-    async def _clear(self, record: RunRecord) -> None:
+    async def _release_memory(self, record: RunRecord) -> None:
         key = LeaseKey(LeaseKind.RUN, record.request_id)
         answer = record.answer
-        whole = answer is not None and answer.closed and _is_whole(record)
-        if whole or record.execution is Execution.NOT_RUN:
+        complete = answer is not None and answer.closed and _is_complete(record)
+        if complete or record.execution is Execution.NOT_RUN:
             self.memory.release(key, self.clock.monotonic())
             return
         self.memory.give_up(key, self.clock.monotonic())
@@ -172,7 +174,7 @@
             self.memory.release(key, self.clock.monotonic())
 
 
-def _is_whole(record: RunRecord) -> bool:
+def _is_complete(record: RunRecord) -> bool:
     answer = record.answer
     if answer is None or not answer.closed:
         return False
@@ -180,10 +182,10 @@
     return close is not None and close.outcome is Outcome.COMPLETE
 
 
-_NOT_RUN = (NotStartedError, BackendBusyError)
+_NOT_RUN_ERRORS = (NotStartedError, BackendBusyError)
 
 
-def _reason_of(error: BackendError) -> RefusalReason:
+def _refusal_reason(error: BackendError) -> RefusalReason:
     if isinstance(error, GroupUnavailableError):
         return RefusalReason.GROUP_UNAVAILABLE
     if isinstance(error, BackendBusyError):
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/state.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/state.py
@@ -1,4 +1,4 @@
-"""What the parts of an endpoint process share."""
+"""State that the parts of an endpoint process share."""
 
 import dataclasses
 
@@ -12,18 +12,21 @@
 
 @dataclasses.dataclass
 class EndpointState:
-    """Who this process is, and whether it takes new work.
+    """The identity of this process, and whether it accepts new work.
 
     Attributes
     ----------
+    own
+        Settings of this endpoint; None until the first ones are applied.
     ready
-        Whether the engine answers. Before the first answer the free memory
-        is not known, and one that stopped answering runs nothing.
+        Whether the engine answers. The free memory is unknown before the
+        first answer, and an engine that stopped answering runs nothing.
     leaving
-        Set by a signal or by the platform's list of instances.
+        Whether this process drains; set by a signal, by the platform's list
+        of instances, or when the process cannot serve.
     listed
-        Whether the newest settings list this endpoint; one that was taken
-        out of them takes no new work.
+        Whether the newest settings list this endpoint. An endpoint that was
+        removed from the settings accepts no new work.
     """
 
     name: EndpointId
@@ -37,7 +40,7 @@
 
     @property
     def phase(self) -> EndpointPhase:
-        """Whether new work is taken."""
+        """The phase, which says whether new work is accepted."""
         if self.leaving:
             return EndpointPhase.DRAINING
         if self.own is None or not self.ready:
@@ -46,13 +49,13 @@
             return EndpointPhase.DRAINING
         return EndpointPhase.LIVE
 
-    def adopt(self, fleet: FleetSettings) -> None:
-        """Take new settings into force.
+    def apply_settings(self, fleet: FleetSettings) -> None:
+        """Apply new settings.
 
         Raises
         ------
         SettingsError
-            If they do not list this endpoint.
+            If the settings do not list this endpoint.
         """
         self.listed = False
         self.own = OwnSettings.from_fleet(fleet, self.name)
