--- a/packages/sycamore-endpoint/src/sycamore_endpoint/tests/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the endpoint process as a whole."""
+"""Tests of a whole endpoint process."""
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/tests/builders.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data, and small fakes at the interfaces of the process."""
+"""Builders of test data, and fakes of the engine, platform and entry."""
 
 import asyncio
 import itertools
@@ -80,14 +80,14 @@
 
 
 class FakeEngine:
-    """An engine that answers a fixed number of lines.
+    """An engine that answers with a fixed number of lines.
 
     Attributes
     ----------
     gate
-        Lines and spans come only while it is set.
+        Lines and spans are produced only while it is set.
     cut_after
-        Number of the line after which the connection is broken, once.
+        Number of the line after which the connection is closed, once.
     """
 
     def __init__(self, lines: int = 3) -> None:
@@ -96,7 +96,7 @@
         self.gate.set()
         self.started: list[str] = []
         self.cancelled: list[str] = []
-        self.held: dict[str, int] = {}
+        self.held_tokens: dict[str, int] = {}
         self.spans: list[dict[str, object]] = []
         self.imports: list[str] = []
         self.orders: list[dict[str, object]] = []
@@ -146,7 +146,7 @@
                 self.engine.cut_after = None
                 self.request.connection.stream.close()
                 return
-        self.engine.held.pop(request_id, None)
+        self.engine.held_tokens.pop(request_id, None)
         self.line(done=True, outcome='complete', output_tokens=0)
 
 
@@ -159,7 +159,7 @@
             return
         name = body['request_id']
         self.engine.started.append(name)
-        self.engine.held[name] = body['prompt_tokens']
+        self.engine.held_tokens[name] = body['prompt_tokens']
         self.engine.imports.append(body.get('imports', ''))
         await self.stream(name, 0)
 
@@ -167,7 +167,7 @@
 class ResumeHandler(EngineHandler):
     async def post(self) -> None:
         body = self.body()
-        if body['request_id'] in self.engine.held:
+        if body['request_id'] in self.engine.held_tokens:
             await self.stream(body['request_id'], body['after'] + 1)
         else:
             self.set_status(404)
@@ -177,17 +177,17 @@
     def post(self) -> None:
         name = self.body()['request_id']
         self.engine.cancelled.append(name)
-        self.engine.held.pop(name, None)
+        self.engine.held_tokens.pop(name, None)
         self.write({'cancelled': True})
 
 
 class LoadHandler(EngineHandler):
     def get(self) -> None:
-        held = [
+        requests = [
             {'request_id': name, 'tokens': tokens}
-            for name, tokens in self.engine.held.items()
+            for name, tokens in self.engine.held_tokens.items()
         ]
-        self.write({'at': 0, 'running': len(held), 'requests': held})
+        self.write({'at': 0, 'running': len(requests), 'requests': requests})
 
 
 class EventsHandler(EngineHandler):
@@ -228,7 +228,7 @@
 
 
 class FakePlatform:
-    """A settings service and list of instances."""
+    """The settings service and the list of instances of the platform."""
 
     def __init__(self, tree: dict[str, object]) -> None:
         self.tree = tree
@@ -315,18 +315,18 @@
 
 
 class EntryProbe:
-    """The other end of the protocol: sends messages and keeps the answers."""
+    """A fake entry that sends messages and records the answers."""
 
     def __init__(self, name: str = 'entry-1') -> None:
         address = f'tcp://127.0.0.1:{free_port()}'
         codec = PacketCodec(KEYS, PeerId(name), ENTRY_INCARNATION, address)
         self.received: list[Message] = []
-        self.news = asyncio.Event()
+        self.message_received = asyncio.Event()
         self.node = Node(
             NodeAddress(address, address),
             codec,
             SystemClock(),
-            self.keep,
+            self.record_messages,
         )
         self.node.start()
 
@@ -335,7 +335,9 @@
             self.node.peer(address).post(message)
 
     def of_kind(self, kind: type) -> list:
-        return [entry for entry in self.received if isinstance(entry, kind)]
+        return [
+            message for message in self.received if isinstance(message, kind)
+        ]
 
     async def wait(self, kind: type, count: int = 1) -> list:
         await self.wait_until(lambda: len(self.of_kind(kind)) >= count)
@@ -344,31 +346,31 @@
     async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(WAIT_SECONDS):
             while not condition():
-                self.news.clear()
-                await self.news.wait()
+                self.message_received.clear()
+                await self.message_received.wait()
 
     async def wait_live(self, address: str) -> Incarnation:
-        """Send heartbeats until the endpoint says that it is live."""
+        """Send heartbeats until the endpoint reports that it is live."""
         live: list[LoadReport] = []
         async with asyncio.timeout(WAIT_SECONDS):
             while not live:
-                self.beat(address)
+                self.send_heartbeat(address)
                 await asyncio.sleep(0.05)
                 reports = self.of_kind(LoadReport)
-                live = [one for one in reports if one.phase == 'live']
+                live = [report for report in reports if report.phase == 'live']
         return live[-1].incarnation
 
-    def beat(self, address: str) -> None:
+    def send_heartbeat(self, address: str) -> None:
         self.send(address, Heartbeat('entry-1', 'a', 0))
 
-    async def keep(self, peer: Peer) -> None:
+    async def record_messages(self, peer: Peer) -> None:
         while True:
             self.received.append(await peer.inbound.get())
-            self.news.set()
+            self.message_received.set()
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for something that has no event of its own."""
+    """Poll for a condition that has no event."""
     async with asyncio.timeout(WAIT_SECONDS):
         while not condition():
             await asyncio.sleep(0.01)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/tests/scene.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/tests/running_endpoint.py
@@ -24,8 +24,8 @@
 
 
 @dataclasses.dataclass
-class Scene:
-    """What a test of one endpoint process talks to."""
+class RunningEndpoint:
+    """An endpoint process and the fakes that it is connected to."""
 
     engine: FakeEngine
     platform: FakePlatform
@@ -39,7 +39,7 @@
         return self.process.settings.listen
 
     @property
-    def leased(self) -> int:
+    def leased_tokens(self) -> int:
         return self.process.parts.memory.leased_tokens
 
     def offer(self, **changes: object) -> Offer:
@@ -47,33 +47,33 @@
         self.entry.send(self.address, offer)
         return offer
 
-    async def closing(self) -> Frame:
-        """Wait for the closing frame."""
-        await self.entry.wait_until(lambda: bool(self.closings))
-        return self.closings[0]
+    async def wait_for_closing_frame(self) -> Frame:
+        """Return the first closing frame, once it has arrived."""
+        await self.entry.wait_until(lambda: bool(self.closing_frames))
+        return self.closing_frames[0]
 
     @property
-    def closings(self) -> list[Frame]:
+    def closing_frames(self) -> list[Frame]:
         frames = self.entry.of_kind(Frame)
         return [frame for frame in frames if frame.close is not None]
 
-    async def memory_is_back(self) -> None:
-        await wait_until(lambda: self.leased == 0)
+    async def wait_for_memory_release(self) -> None:
+        await wait_until(lambda: self.leased_tokens == 0)
 
 
 @asynccontextmanager
-async def running(
+async def run_endpoint(
     directory: Path,
     engine: FakeEngine,
     backend: Application | None = None,
     kind: str = 'model',
     model: str = '',
-) -> AsyncIterator[Scene]:
-    """Run one endpoint process; at the end all answers count as taken."""
+) -> AsyncIterator[RunningEndpoint]:
+    """Run one endpoint process; at exit all answers count as received."""
     platform = FakePlatform({})
-    behind = backend or engine.application()
+    application = backend or engine.application()
     async with (
-        serving(behind) as backend_url,
+        serving(application) as backend_url,
         serving(platform.application()) as platform_url,
     ):
         settings = make_settings(directory, backend_url, platform_url)
@@ -84,7 +84,9 @@
         task = asyncio.create_task(process.run())
         entry = EntryProbe()
         incarnation = await entry.wait_live(settings.listen)
-        yield Scene(engine, platform, process, task, entry, incarnation)
+        yield RunningEndpoint(
+            engine, platform, process, task, entry, incarnation
+        )
         engine.gate.set()
         process.parts.runs.records.clear()
         process.stop()
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/tests/test_process.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The endpoint process between a fake entry and a fake engine."""
+"""Tests of the endpoint process with a fake entry and a fake engine."""
 
 import asyncio
 import zlib
@@ -28,295 +28,306 @@
 
 from ..ledger import WINDOW_FRAMES
 from .builders import FakeEngine, make_offer, wait_until
-from .scene import running
+from .running_endpoint import run_endpoint
 
 
-def test_answer_comes_whole(tmp_path: Path) -> None:
-    async def story() -> None:
-        async with running(tmp_path, FakeEngine(lines=3)) as scene:
-            scene.offer()
-            await scene.entry.wait(Accepted)
-            close = (await scene.closing()).close
-            frames: list[Frame] = scene.entry.of_kind(Frame)
+def test_answer_is_complete(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with run_endpoint(tmp_path, FakeEngine(lines=3)) as endpoint:
+            endpoint.offer()
+            await endpoint.entry.wait(Accepted)
+            close = (await endpoint.wait_for_closing_frame()).close
+            frames: list[Frame] = endpoint.entry.of_kind(Frame)
             payload = b''.join(frame.payload for frame in frames)
             assert close.outcome is Outcome.COMPLETE
             assert close.frames == 3
             assert close.checksum == zlib.crc32(payload)
             assert payload == b't0 t1 t2 '
-            await scene.memory_is_back()
+            await endpoint.wait_for_memory_release()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_repeated_offer_runs_once(tmp_path: Path) -> None:
-    """The answer to an offer is lost and the entry sends it again.
+    """Guard against a second run of an offer that the entry repeats.
 
-    The request must not run a second time.
+    The entry repeats an offer if the answer to it is lost.
     """
 
-    async def story() -> None:
-        async with running(tmp_path, FakeEngine()) as scene:
-            scene.engine.gate.clear()
-            offer = scene.offer(idempotent=False)
-            scene.entry.send(scene.address, offer, offer)
-            await scene.entry.wait(Accepted, count=3)
-            scene.engine.gate.set()
-            await scene.closing()
-            assert len(scene.engine.started) == 1
+    async def scenario() -> None:
+        async with run_endpoint(tmp_path, FakeEngine()) as endpoint:
+            endpoint.engine.gate.clear()
+            offer = endpoint.offer(idempotent=False)
+            endpoint.entry.send(endpoint.address, offer, offer)
+            await endpoint.entry.wait(Accepted, count=3)
+            endpoint.engine.gate.set()
+            await endpoint.wait_for_closing_frame()
+            assert len(endpoint.engine.started) == 1
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_broken_stream_is_resumed(tmp_path: Path) -> None:
-    """The connection to the engine breaks in the middle of an answer.
+    """Guard against lost or repeated lines after a broken connection.
 
-    The guest sees nothing of it: the rest comes, once and in order.
+    The connection to the engine breaks in the middle of an answer.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         engine = FakeEngine(lines=5)
         engine.cut_after = 2
-        async with running(tmp_path, engine) as scene:
-            scene.offer()
-            close = (await scene.closing()).close
+        async with run_endpoint(tmp_path, engine) as endpoint:
+            endpoint.offer()
+            close = (await endpoint.wait_for_closing_frame()).close
             assert close.outcome is Outcome.COMPLETE
             assert close.frames == 5
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_lost_run_ends_as_failed(tmp_path: Path) -> None:
-    """The engine dies in the middle of an answer and knows nothing of it.
+    """Guard against a lost run that hangs or is reported as not run.
 
-    The caller is told that it failed, well within its time limit, and not
-    that it was not run.
+    The engine restarts in the middle of an answer and no longer knows the
+    run. The run must fail well within its time limit.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         engine = FakeEngine(lines=5)
         engine.cut_after = 2
-        async with running(tmp_path, engine) as scene:
+        async with run_endpoint(tmp_path, engine) as endpoint:
             engine.gate.clear()
-            offer = scene.offer(idempotent=False)
+            offer = endpoint.offer(idempotent=False)
             await wait_until(lambda: bool(engine.started))
-            engine.held.clear()
+            engine.held_tokens.clear()
             engine.gate.set()
-            close = (await scene.closing()).close
+            close = (await endpoint.wait_for_closing_frame()).close
             assert close.outcome is Outcome.FAILED
             withdraw = Withdraw(offer.request_id, offer.attempt)
-            scene.entry.send(scene.address, withdraw)
-            report = (await scene.entry.wait(RunReport))[0]
+            endpoint.entry.send(endpoint.address, withdraw)
+            report = (await endpoint.entry.wait(RunReport))[0]
             assert report.execution is Execution.RAN
-            await scene.memory_is_back()
+            await endpoint.wait_for_memory_release()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_full_engine_is_told_as_not_run(tmp_path: Path) -> None:
-    """The engine has no memory although the ledger said so."""
+def test_full_engine_is_reported_as_not_run(tmp_path: Path) -> None:
+    """The engine refuses a run although the ledger has free memory."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         engine = FakeEngine()
         engine.full = True
-        async with running(tmp_path, engine) as scene:
-            offer = scene.offer(idempotent=False)
-            close = (await scene.closing()).close
+        async with run_endpoint(tmp_path, engine) as endpoint:
+            offer = endpoint.offer(idempotent=False)
+            close = (await endpoint.wait_for_closing_frame()).close
             assert close.reason is RefusalReason.MEMORY_FULL
             withdraw = Withdraw(offer.request_id, offer.attempt)
-            scene.entry.send(scene.address, withdraw)
-            report = (await scene.entry.wait(RunReport))[0]
+            endpoint.entry.send(endpoint.address, withdraw)
+            report = (await endpoint.entry.wait(RunReport))[0]
             assert report.execution is Execution.NOT_RUN
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_cancelled_run_gives_its_memory_back(tmp_path: Path) -> None:
-    """A guest closes the page while the engine computes."""
+def test_cancelled_run_releases_its_memory(tmp_path: Path) -> None:
+    """Guard against leaked memory when a caller leaves during a run."""
 
-    async def story() -> None:
-        async with running(tmp_path, FakeEngine()) as scene:
-            scene.engine.gate.clear()
-            offer = scene.offer()
-            await wait_until(lambda: bool(scene.engine.started))
+    async def scenario() -> None:
+        async with run_endpoint(tmp_path, FakeEngine()) as endpoint:
+            endpoint.engine.gate.clear()
+            offer = endpoint.offer()
+            await wait_until(lambda: bool(endpoint.engine.started))
             gone = Cancel(offer.request_id, CancelReason.CALLER_GONE)
-            scene.entry.send(scene.address, gone)
-            await scene.memory_is_back()
-            assert scene.engine.cancelled == [offer.request_id]
+            endpoint.entry.send(endpoint.address, gone)
+            await endpoint.wait_for_memory_release()
+            assert endpoint.engine.cancelled == [offer.request_id]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_deadline_ends_a_run(tmp_path: Path) -> None:
-    """The engine is stuck until the caller's time limit is over."""
+    """Guard against a run that outlives its deadline on a stuck engine."""
 
-    async def story() -> None:
-        async with running(tmp_path, FakeEngine()) as scene:
-            scene.engine.gate.clear()
-            scene.offer(budget=0.5)
-            close = (await scene.closing()).close
+    async def scenario() -> None:
+        async with run_endpoint(tmp_path, FakeEngine()) as endpoint:
+            endpoint.engine.gate.clear()
+            endpoint.offer(budget=0.5)
+            close = (await endpoint.wait_for_closing_frame()).close
             assert close.outcome is Outcome.TIMEOUT
-            await scene.memory_is_back()
+            await endpoint.wait_for_memory_release()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_run_of_a_silent_entry_is_given_up(tmp_path: Path) -> None:
-    """An entry dies and no other one attaches to its run."""
+def test_run_of_a_silent_entry_is_cancelled(tmp_path: Path) -> None:
+    """Guard against leaked memory when an entry dies during a run.
 
-    async def story() -> None:
-        async with running(tmp_path, FakeEngine()) as scene:
-            scene.engine.gate.clear()
-            scene.offer(budget=600)
-            await wait_until(lambda: bool(scene.engine.started))
-            await scene.memory_is_back()
+    No other entry attaches to the run.
+    """
+
+    async def scenario() -> None:
+        async with run_endpoint(tmp_path, FakeEngine()) as endpoint:
+            endpoint.engine.gate.clear()
+            endpoint.offer(budget=600)
+            await wait_until(lambda: bool(endpoint.engine.started))
+            await endpoint.wait_for_memory_release()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_memory_of_an_earlier_process_comes_back(tmp_path: Path) -> None:
-    """The endpoint process died while the engine computed.
+def test_memory_of_an_earlier_process_is_released(tmp_path: Path) -> None:
+    """Guard against leaked memory after a crash of the endpoint process.
 
-    The next one finds a run that nobody waits for, and cancels it.
+    The next process finds a run in the engine that has no owner and must
+    cancel it.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         engine = FakeEngine()
-        engine.held['of-an-earlier-process'] = 900
-        async with running(tmp_path, engine):
-            await wait_until(lambda: not engine.held)
+        engine.held_tokens['of-an-earlier-process'] = 900
+        async with run_endpoint(tmp_path, engine):
+            await wait_until(lambda: not engine.held_tokens)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_slow_entry_slows_the_engine(tmp_path: Path) -> None:
-    """An entry acknowledges nothing, since its caller reads nothing."""
+    """Guard against unlimited buffering while an entry acknowledges nothing."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         lines = WINDOW_FRAMES * 3
-        async with running(tmp_path, FakeEngine(lines)) as scene:
-            offer = scene.offer()
-            await scene.entry.wait(Frame, count=WINDOW_FRAMES)
-            record = scene.process.parts.runs.find(offer.request_id)
+        async with run_endpoint(tmp_path, FakeEngine(lines)) as endpoint:
+            offer = endpoint.offer()
+            await endpoint.entry.wait(Frame, count=WINDOW_FRAMES)
+            record = endpoint.process.parts.runs.find(offer.request_id)
             assert len(record.answer.frames) == WINDOW_FRAMES
             for sequence in range(0, lines + 1):
-                await scene.entry.wait(Frame, count=sequence + 1)
+                await endpoint.entry.wait(Frame, count=sequence + 1)
                 ack = Ack(offer.request_id, sequence)
-                scene.entry.send(scene.address, ack)
-            assert (await scene.closing()).close.frames == lines
-
-    asyncio.run(story())
-
-
-def test_stop_lets_a_run_finish_and_takes_no_other(tmp_path: Path) -> None:
-    """An operator replaces the instance while a guest reads an answer."""
-
-    async def story() -> None:
-        async with running(tmp_path, FakeEngine()) as scene:
-            scene.engine.gate.clear()
-            offer = scene.offer()
-            await wait_until(lambda: bool(scene.engine.started))
-            scene.process.stop()
-            await scene.entry.wait_until(lambda: _leaving(scene.entry))
-            scene.offer()
-            declined = (await scene.entry.wait(Declined))[0]
+                endpoint.entry.send(endpoint.address, ack)
+            assert (
+                await endpoint.wait_for_closing_frame()
+            ).close.frames == lines
+
+    asyncio.run(scenario())
+
+
+def test_stop_lets_a_run_finish_and_accepts_no_other(tmp_path: Path) -> None:
+    """Guard against a lost answer when an operator stops an instance."""
+
+    async def scenario() -> None:
+        async with run_endpoint(tmp_path, FakeEngine()) as endpoint:
+            endpoint.engine.gate.clear()
+            offer = endpoint.offer()
+            await wait_until(lambda: bool(endpoint.engine.started))
+            endpoint.process.stop()
+            await endpoint.entry.wait_until(
+                lambda: _is_draining(endpoint.entry)
+            )
+            endpoint.offer()
+            declined = (await endpoint.entry.wait(Declined))[0]
             assert declined.reason is RefusalReason.DRAINING
             assert declined.execution is Execution.NOT_RUN
-            scene.engine.gate.set()
-            close = await scene.closing()
+            endpoint.engine.gate.set()
+            close = await endpoint.wait_for_closing_frame()
             assert close.close.outcome is Outcome.COMPLETE
-            assert not scene.task.done()
+            assert not endpoint.task.done()
             ack = Ack(offer.request_id, close.sequence)
-            scene.entry.send(scene.address, ack)
-            await scene.task
+            endpoint.entry.send(endpoint.address, ack)
+            await endpoint.task
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_leaving_instance_takes_no_new_work(tmp_path: Path) -> None:
-    """The platform lists the instance as leaving; no signal has come yet."""
+def test_leaving_instance_accepts_no_new_work(tmp_path: Path) -> None:
+    """The platform lists the instance as leaving before any signal."""
 
-    async def story() -> None:
-        async with running(tmp_path, FakeEngine()) as scene:
+    async def scenario() -> None:
+        async with run_endpoint(tmp_path, FakeEngine()) as endpoint:
             row = {'instance': 'e1', 'address': 'x', 'state': 'leaving'}
-            scene.platform.instances.append(row)
-            await scene.entry.wait_until(lambda: _leaving(scene.entry))
+            endpoint.platform.instances.append(row)
+            await endpoint.entry.wait_until(
+                lambda: _is_draining(endpoint.entry)
+            )
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_endpoint_taken_out_of_the_settings_takes_no_new_work(
+def test_endpoint_removed_from_the_settings_accepts_no_new_work(
     tmp_path: Path,
 ) -> None:
-    """An operator publishes settings that no longer list the endpoint.
+    """Guard against new work on an endpoint that the settings dropped.
 
-    An entry that has not heard of them still offers it work.
+    An entry that has not received the new settings still sends an offer.
     """
 
-    async def story() -> None:
-        async with running(tmp_path, FakeEngine()) as scene:
-            newer = dict(scene.platform.tree, version=2, endpoints={})
-            scene.platform.tree = newer
-            state = scene.process.parts.state
+    async def scenario() -> None:
+        async with run_endpoint(tmp_path, FakeEngine()) as endpoint:
+            newer = dict(endpoint.platform.tree, version=2, endpoints={})
+            endpoint.platform.tree = newer
+            state = endpoint.process.parts.state
             await wait_until(lambda: not state.listed)
-            scene.offer()
-            declined = (await scene.entry.wait(Declined))[0]
+            endpoint.offer()
+            declined = (await endpoint.entry.wait(Declined))[0]
             assert declined.reason is RefusalReason.DRAINING
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def _leaving(entry) -> bool:
+def _is_draining(entry) -> bool:
     reports: list[LoadReport] = entry.of_kind(LoadReport)
-    return any(one.phase is EndpointPhase.DRAINING for one in reports)
+    return any(report.phase is EndpointPhase.DRAINING for report in reports)
 
 
 def test_offer_to_an_earlier_process_is_unknown(tmp_path: Path) -> None:
-    """An offer is on its way while the endpoint process restarts.
+    """Guard against a false report that a request was not run.
 
-    The earlier process may have run it, so nobody is told that it was not.
+    An offer is in flight while the endpoint process restarts. The earlier
+    process may have run the request.
     """
 
-    async def story() -> None:
-        async with running(tmp_path, FakeEngine()) as scene:
+    async def scenario() -> None:
+        async with run_endpoint(tmp_path, FakeEngine()) as endpoint:
             late = make_offer(incarnation=Incarnation(5), idempotent=False)
-            scene.entry.send(scene.address, late)
-            declined = (await scene.entry.wait(Declined))[0]
+            endpoint.entry.send(endpoint.address, late)
+            declined = (await endpoint.entry.wait(Declined))[0]
             assert declined.reason is RefusalReason.WRONG_INCARNATION
             assert declined.execution is Execution.UNKNOWN
-            assert not scene.engine.started
+            assert not endpoint.engine.started
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_reserved_id_runs_once(tmp_path: Path) -> None:
-    async def story() -> None:
-        async with running(tmp_path, FakeEngine()) as scene:
-            scene.entry.send(scene.address, Reserve('n', 'w', 'chat'))
-            reserved = (await scene.entry.wait(Reserved))[0]
+    async def scenario() -> None:
+        async with run_endpoint(tmp_path, FakeEngine()) as endpoint:
+            endpoint.entry.send(endpoint.address, Reserve('n', 'w', 'chat'))
+            reserved = (await endpoint.entry.wait(Reserved))[0]
             name = reserved.request_id
-            scene.offer(request_id=name, bound=True, idempotent=False)
-            scene.offer(request_id=name, bound=True, idempotent=False)
-            await scene.entry.wait(Accepted, count=2)
-            await scene.closing()
-            assert scene.engine.started == [name]
+            endpoint.offer(request_id=name, bound=True, idempotent=False)
+            endpoint.offer(request_id=name, bound=True, idempotent=False)
+            await endpoint.entry.wait(Accepted, count=2)
+            await endpoint.wait_for_closing_frame()
+            assert endpoint.engine.started == [name]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_engine_is_made_to_load_its_model(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_engine_is_ordered_to_load_its_model(tmp_path: Path) -> None:
+    async def scenario() -> None:
         engine = FakeEngine()
-        async with running(tmp_path, engine, model='m1'):
+        async with run_endpoint(tmp_path, engine, model='m1'):
             await wait_until(lambda: bool(engine.orders))
             order = engine.orders[0]
             assert order['model'] == 'm1'
             assert order['fencing'] > 1 << 34
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 class DroppingService(RequestHandler):
-    """Records each call; the second one loses its connection."""
+    """Records each call; drops the connection from the second call on."""
 
     calls: list[str] = []
 
@@ -329,28 +340,33 @@
 
 
 def test_call_is_not_sent_twice_by_the_client(tmp_path: Path) -> None:
-    """A booking application drops a kept connection after it took a deposit.
+    """Guard against a retry by the HTTP client itself.
 
-    The HTTP client would send the deposit once more on a new connection by
-    itself, and the family would be charged twice.
+    The service closes a reused connection after it has received a deposit.
+    The client would send the deposit again on a new connection, and the
+    customer would be charged twice.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         DroppingService.calls.clear()
         service = Application([('/.*', DroppingService)])
         plain = {'payload': b'', 'prompt_tokens': 0, 'max_output_tokens': 0}
-        async with running(
+        async with run_endpoint(
             tmp_path,
             FakeEngine(),
             service,
             'plain',
-        ) as scene:
-            scene.offer(idempotent=False, **plain)
-            await scene.closing()
-            scene.offer(idempotent=False, **plain)
-            await scene.entry.wait_until(lambda: len(scene.closings) == 2)
-            outcomes = {frame.close.outcome for frame in scene.closings}
+        ) as endpoint:
+            endpoint.offer(idempotent=False, **plain)
+            await endpoint.wait_for_closing_frame()
+            endpoint.offer(idempotent=False, **plain)
+            await endpoint.entry.wait_until(
+                lambda: len(endpoint.closing_frames) == 2
+            )
+            outcomes = {
+                frame.close.outcome for frame in endpoint.closing_frames
+            }
             assert outcomes == {Outcome.COMPLETE, Outcome.FAILED}
             assert len(DroppingService.calls) == 2
 
-    asyncio.run(story())
+    asyncio.run(scenario())
