--- a/packages/sycamore-endpoint/src/sycamore_endpoint/admission.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/admission.py
@@ -136,21 +136,21 @@
     def _unavailable_reason(self, offer: Offer) -> RefusalReason | None:
         if self.state.phase is EndpointPhase.DRAINING:
             return RefusalReason.DRAINING
-        own = self.state.own
-        if own is None:
+        own_settings = self.state.own
+        if own_settings is None:
             return RefusalReason.SETTINGS_NOT_READY
         if self.state.phase is not EndpointPhase.LIVE:
             return RefusalReason.BACKEND_FAILED
-        if own.endpoint.service != offer.service:
+        if own_settings.endpoint.service != offer.service:
             return RefusalReason.WRONG_SERVICE
         return None
 
     def _required_tokens(self, offer: Offer) -> int:
         if offer.plain_call is not None:
             return 0
-        own = self.state.own
-        if offer.members and own is not None:
-            spans = divide(offer, own.fleet, own.endpoint)
+        own_settings = self.state.own
+        if offer.members and own_settings is not None:
+            spans = divide(offer, own_settings.fleet, own_settings.endpoint)
             return spans[-1].tokens if spans else 0
         return offer.prompt_tokens + offer.max_output_tokens
 
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
@@ -110,13 +110,15 @@
             If the settings do not list this endpoint.
         """
         self.state.apply_settings(fleet)
-        own = self.state.own
-        if own is None:
+        own_settings = self.state.own
+        if own_settings is None:
             return
         self.keys.look()
-        self.memory.capacity_tokens = own.endpoint.capacity_tokens
+        self.memory.capacity_tokens = own_settings.endpoint.capacity_tokens
         if self.backend_parts is None:
-            self.backend_parts = make_backend_parts(self, own.service.kind)
+            self.backend_parts = make_backend_parts(
+                self, own_settings.service.kind
+            )
 
 
 def _make_node(
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/reports.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/reports.py
@@ -55,9 +55,13 @@
 
     def report(self) -> LoadReport:
         """Return a report of the current load."""
-        own = self.state.own
+        own_settings = self.state.own
         claim = self.keeper.claim
-        service = ServiceId('') if own is None else own.endpoint.service
+        service = (
+            ServiceId('')
+            if own_settings is None
+            else own_settings.endpoint.service
+        )
         return LoadReport(
             endpoint=self.state.name,
             service=service,
@@ -84,10 +88,10 @@
         return len(self.runs.in_progress())
 
     def _long_tokens(self) -> int:
-        own = self.state.own
-        if own is None:
+        own_settings = self.state.own
+        if own_settings is None:
             return 0
-        long_band_tokens = own.fleet.policy.bands.long
+        long_band_tokens = own_settings.fleet.policy.bands.long
         return sum(
             lease.tokens
             for lease in self.memory.leases.values()
