--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/engine.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/engine.py
@@ -103,8 +103,8 @@
         position = StreamPosition()
         try:
             while True:
-                async for piece in self._read_pieces(call, position):
-                    yield piece
+                async for chunk in self._read_answer(call, position):
+                    yield chunk
                 if position.done:
                     return
                 await asyncio.sleep(RESUME_DELAY_SECONDS)
@@ -150,7 +150,7 @@
         call.start()
         return call
 
-    async def _read_pieces(
+    async def _read_answer(
         self,
         call: StreamCall,
         position: 'StreamPosition',
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/plain.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/plain.py
@@ -30,8 +30,8 @@
         call = StreamCall(self.streams, self._request(offer, seconds), gate)
         call.start()
         try:
-            async for piece in _read_pieces(call):
-                yield piece
+            async for chunk in _read_answer(call):
+                yield chunk
         finally:
             call.abort()
 
@@ -60,7 +60,7 @@
         )
 
 
-async def _read_pieces(call: StreamCall) -> AsyncIterator[Piece]:
+async def _read_answer(call: StreamCall) -> AsyncIterator[Piece]:
     chunk = await call.read()
     reply = PlainReply(call.status, call.content_type)
     yield Piece(chunk, plain_reply=reply)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
@@ -109,21 +109,21 @@
         offer = record.offer
         if offer is None:
             return
-        pieces = self.backend.pieces(
+        chunks = self.backend.pieces(
             offer,
             lambda: self.admission.may_start(record),
             record.deadline - self.clock.monotonic(),
         )
-        async with aclosing(pieces):
-            async for piece in pieces:
-                await self._forward(record, piece)
+        async with aclosing(chunks):
+            async for chunk in chunks:
+                await self._forward(record, chunk)
         self.runs.end(record, Outcome.COMPLETE)
 
-    async def _forward(self, record: RunRecord, piece: Piece) -> None:
+    async def _forward(self, record: RunRecord, chunk: Piece) -> None:
         answer = record.answer
         if answer is None:
             return
-        answer.add(piece.payload, piece.tokens, piece.plain_reply)
+        answer.add(chunk.payload, chunk.tokens, chunk.plain_reply)
         self.post_due(record)
         window_open = self._window_events[record.request_id]
         while not answer.has_room:
