--- a/packages/sycamore-core/src/sycamore_core/identity/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/identity/__init__.py
@@ -1,4 +1,4 @@
-"""Request ids that say where they came from and cannot be forged."""
+"""Signed request ids and the choice of the home endpoint of a key."""
 
 from .claims import IdKind, RequestClaims
 from .rendezvous import (
--- a/packages/sycamore-core/src/sycamore_core/identity/claims.py
+++ b/packages/sycamore-core/src/sycamore_core/identity/claims.py
@@ -1,4 +1,4 @@
-"""What a request id says of itself."""
+"""The claims that a request id carries."""
 
 import enum
 
@@ -8,11 +8,11 @@
 
 
 class IdKind(enum.StrEnum):
-    """Who minted a request id."""
+    """Which kind of process minted a request id."""
 
     #: An entry, for a request that may run at any endpoint of the service.
     ENTRY = 'e'
-    #: An endpoint process, for a request that runs there or nowhere.
+    #: An endpoint process, for a request that only this endpoint may run.
     BOUND = 'b'
 
 
@@ -22,12 +22,12 @@
     Attributes
     ----------
     minter, incarnation
-        The process that minted the id, and its start.
+        Name and incarnation of the process that minted the id.
     issued
-        Reading of the minter's monotonic clock, in seconds; it means
-        something to the same incarnation only.
+        Time on the minter's monotonic clock, in seconds. Only the same
+        incarnation can compare it with its clock.
     nonce
-        Makes ids minted at the same moment differ.
+        Distinguishes ids that are minted at the same time.
     """
 
     kind: IdKind
--- a/packages/sycamore-core/src/sycamore_core/identity/rendezvous.py
+++ b/packages/sycamore-core/src/sycamore_core/identity/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: the same ranking of names for a key in every process."""
+"""Rendezvous hashing: every process ranks the names for a key alike."""
 
 from collections.abc import Iterable, Sequence
 
@@ -10,14 +10,14 @@
 
 
 def rendezvous_score(key: str, name: str) -> int:
-    """Return the score of a name for a key; the highest is the first."""
+    """Return the score of a name for a key; the highest score ranks first."""
     return stable_hash(_SEPARATOR.join((key, name)))
 
 
 def rendezvous_ranking(key: str, names: Iterable[str]) -> list[str]:
-    """Return the names in the order in which the key prefers them.
+    """Return the names ordered by descending score for a key.
 
-    Adding or removing a name moves only the keys that it wins or held.
+    Adding or removing a name moves only the keys that rank it first.
 
     Examples
     --------
@@ -40,8 +40,8 @@
 ) -> EndpointId | None:
     """Return the only endpoint that may run a request under a caller's key.
 
-    It depends on the published settings alone, not on what is alive, so that
-    two processes with the same settings never disagree.
+    The result depends on the published settings only, not on which endpoints
+    are alive, so that processes with the same settings always agree.
     """
     names = [entry.endpoint for entry in fleet.endpoints_of(service)]
     return home_among(names, workspace, service, key)
@@ -53,7 +53,7 @@
     service: ServiceId,
     key: IdempotencyKey,
 ) -> EndpointId | None:
-    """Return the home of a caller's key among the endpoints of its service."""
+    """Return the home endpoint of a key among the endpoints of a service."""
     if not names:
         return None
     scoped = _SEPARATOR.join((workspace, service, key))
--- a/packages/sycamore-core/src/sycamore_core/identity/signer.py
+++ b/packages/sycamore-core/src/sycamore_core/identity/signer.py
@@ -1,4 +1,4 @@
-"""Minting and reading of request ids."""
+"""Mints signed request ids and verifies them."""
 
 import base64
 import binascii
@@ -14,10 +14,11 @@
 
 
 class RequestIdSigner:
-    """Mints request ids and reads the claims of one.
+    """Mints signed request ids and reads their claims.
 
-    The id is the key id, a tilde, and the base64 form of the signature and
-    the claims. Any process with the peer keys can read an id of any other.
+    A request id consists of the key id, a tilde, and the base64 encoding of
+    the signature and the claims. Every process that has the peer keys can
+    read the ids that other processes mint.
 
     Examples
     --------
@@ -39,12 +40,12 @@
         return RequestId(_KEY_SEPARATOR.join((self._keys.signing, text)))
 
     def read(self, request_id: str) -> RequestClaims:
-        """Check an id and return its claims.
+        """Verify the signature of an id and return its claims.
 
         Raises
         ------
         AuthenticationError
-            If the id was not minted with one of the keys in force.
+            If the id is malformed or not signed with a current key.
         """
         key_id, _, text = request_id.partition(_KEY_SEPARATOR)
         try:
@@ -54,7 +55,7 @@
                 validate=True,
             )
         except (binascii.Error, ValueError) as error:
-            raise AuthenticationError('not a request id') from error
+            raise AuthenticationError('malformed request id') from error
         body = signed[SIGNATURE_BYTES:]
         self._keys.verify(KeyId(key_id), body, signed[:SIGNATURE_BYTES])
         return msgspec.msgpack.decode(body, type=RequestClaims)
--- a/packages/sycamore-core/src/sycamore_core/identity/tests/test_signer.py
+++ b/packages/sycamore-core/src/sycamore_core/identity/tests/test_signer.py
@@ -19,7 +19,7 @@
 )
 
 
-def test_claims_come_back() -> None:
+def test_minted_id_returns_its_claims() -> None:
     signer = RequestIdSigner(KEYS)
     assert signer.read(signer.mint(CLAIMS)) == CLAIMS
 
@@ -28,18 +28,18 @@
     'forged',
     ['', 'k', 'k~', 'k~AAAA', 'k~!!!!', 'x~AAAA', 'k~\u00e9', '~' * 100],
 )
-def test_forged_id_is_refused(forged: str) -> None:
+def test_forged_id_is_rejected(forged: str) -> None:
     with pytest.raises(AuthenticationError):
         RequestIdSigner(KEYS).read(forged)
 
 
-def test_id_of_another_workspace_cannot_be_made_from_ones_own() -> None:
-    """A caller changes a letter of its id to read another's answer."""
+def test_altered_id_is_rejected_or_has_the_same_claims() -> None:
+    """Guards against a caller that alters its id to read other answers."""
     signer = RequestIdSigner(KEYS)
     minted = signer.mint(CLAIMS)
-    for position, letter in enumerate(minted[2:], start=2):
-        swapped = 'B' if letter == 'A' else 'A'
-        forged = minted[:position] + swapped + minted[position + 1 :]
+    for position, character in enumerate(minted[2:], start=2):
+        replacement = 'B' if character == 'A' else 'A'
+        forged = minted[:position] + replacement + minted[position + 1 :]
         try:
             claims = signer.read(forged)
         except AuthenticationError:
