--- a/packages/sycamore-core/src/sycamore_core/clock.py
+++ b/packages/sycamore-core/src/sycamore_core/clock.py
@@ -1,26 +1,29 @@
-"""Clocks as arguments, so that tests can turn them by hand."""
+"""Clocks that are passed as arguments, so that tests can control time."""
 
 import abc
 import time
 
 
 class Clock(abc.ABC):
-    """Source of time for everything that waits or expires."""
+    """Source of time for all timeouts and expirations."""
 
     @abc.abstractmethod
     def monotonic(self) -> float:
-        """Return seconds on a clock that never goes back."""
+        """Return the time in seconds on a clock that never goes back."""
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Return seconds since 1970; may jump, may differ by instance."""
+        """Return seconds since 1970.
+
+        This clock may jump and may differ between instances.
+        """
 
 
 class SystemClock(Clock):
-    """The clocks of the operating system."""
+    """Reads the clocks of the operating system."""
 
     def monotonic(self) -> float:
-        """Return seconds on the monotonic clock of the system."""
+        """Return the time in seconds on the monotonic clock of the system."""
         return time.monotonic()
 
     def wall(self) -> float:
@@ -29,7 +32,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to.
+    """Clock that moves only when `advance` is called.
 
     Parameters
     ----------
@@ -51,11 +54,11 @@
         self.wall_offset = wall_offset
 
     def monotonic(self) -> float:
-        """Return the reading set by hand, in seconds."""
+        """Return the current monotonic time, in seconds."""
         return self.now
 
     def wall(self) -> float:
-        """Return the reading set by hand plus the offset, in seconds."""
+        """Return the current monotonic time plus the offset, in seconds."""
         return self.now + self.wall_offset
 
     def advance(self, seconds: float) -> None:
--- a/packages/sycamore-core/src/sycamore_core/errors.py
+++ b/packages/sycamore-core/src/sycamore_core/errors.py
@@ -1,17 +1,17 @@
-"""The root of the exception tree.
+"""Base classes of the exceptions.
 
-Each layer derives its own branch from `SycamoreError` and turns the errors of
-the layer below into its own, so that no caller has to know a library that it
-does not use itself.
+Each layer derives its exceptions from `SycamoreError` and translates those of
+the layer below, so that callers depend only on the libraries that they use
+themselves.
 """
 
 
 class SycamoreError(Exception):
-    """Root of all errors that this project raises on purpose."""
+    """Base class of all exceptions that this project raises."""
 
 
 class SettingsError(SycamoreError):
-    """A settings file or a published settings tree cannot be used."""
+    """A settings file or a published settings tree is invalid."""
 
 
 class TransportError(SycamoreError):
@@ -19,7 +19,7 @@
 
 
 class CodecError(TransportError):
-    """Received bytes are not a packet of the protocol."""
+    """Received bytes are not a valid packet of the protocol."""
 
 
 class AuthenticationError(TransportError):
@@ -31,12 +31,12 @@
 
 
 class BackendError(SycamoreError):
-    """An engine or a plain service failed to do what it was asked."""
+    """An engine or a plain service failed to process a request."""
 
 
 class LedgerError(SycamoreError):
-    """A change that the rules of a ledger do not allow."""
+    """The rules of a ledger do not allow a change."""
 
 
 class DecisionError(SycamoreError):
-    """A decision was asked for with inputs that contradict each other."""
+    """The inputs of a decision contradict each other."""
--- a/packages/sycamore-core/src/sycamore_core/hashes.py
+++ b/packages/sycamore-core/src/sycamore_core/hashes.py
@@ -1,4 +1,4 @@
-"""Hashes that are the same in every process, unlike those of the language."""
+"""Hashes that are the same in every process, unlike the built-in `hash`."""
 
 import hashlib
 
@@ -15,10 +15,10 @@
 
 
 def stable_hash(text: str) -> int:
-    """Return 64 bits that are the same in every process."""
+    """Return a 64-bit hash that is the same in every process."""
     return int.from_bytes(stable_digest(text.encode()))
 
 
 def stable_part(text: str) -> float:
-    """Return a number from 0 to 1 that is the same in every process."""
+    """Return a hash scaled to [0, 1) that is the same in every process."""
     return stable_hash(text) / HASH_RANGE
--- a/packages/sycamore-core/src/sycamore_core/ids.py
+++ b/packages/sycamore-core/src/sycamore_core/ids.py
@@ -1,7 +1,7 @@
 """Identifiers that the processes exchange.
 
-Every identifier is a distinct type for the type checker and a plain string or
-integer at run time, so that it costs nothing on the wire.
+For the type checker every identifier is a distinct type. At run time it is a
+plain string or integer, so that messages need no extra encoding.
 """
 
 from typing import NewType
@@ -25,11 +25,11 @@
 Sequence = NewType('Sequence', int)
 #: Number of a published settings tree; higher is newer.
 SettingsVersion = NewType('SettingsVersion', int)
-#: Start of a process in nanoseconds since 1970; a restart has a higher one.
+#: Start time of a process in nanoseconds since 1970; a restart increases it.
 Incarnation = NewType('Incarnation', int)
-#: Number that an engine compares to refuse an order older than the last.
+#: Number by which an engine rejects an order that is older than the last.
 FencingNumber = NewType('FencingNumber', int)
-#: Hash that stands for one block of a prompt and all the blocks before it.
+#: Hash of one block of a prompt and of all blocks before it.
 BlockHash = NewType('BlockHash', int)
-#: Digest of what makes two requests the same: path, workspace and body.
+#: Digest of path, workspace and body; equal for identical requests.
 ContentDigest = NewType('ContentDigest', bytes)
--- a/packages/sycamore-core/src/sycamore_core/states.py
+++ b/packages/sycamore-core/src/sycamore_core/states.py
@@ -1,17 +1,17 @@
-"""States, kinds and reasons, as enumerations with stable wire values."""
+"""Enumerations of states, kinds and reasons with stable wire values."""
 
 import enum
 
 
 class EndpointKind(enum.StrEnum):
-    """What stands behind an endpoint process."""
+    """Kind of backend that an endpoint process serves."""
 
     MODEL = 'model'
     PLAIN = 'plain'
 
 
 class EndpointPhase(enum.StrEnum):
-    """Whether an endpoint takes new work."""
+    """Phase in the life cycle of an endpoint."""
 
     STARTING = 'starting'
     LIVE = 'live'
@@ -33,7 +33,7 @@
 
 
 class Execution(enum.StrEnum):
-    """What is known about whether a request was run."""
+    """Whether a request is known to have run."""
 
     NOT_RUN = 'not_run'
     RAN = 'ran'
@@ -41,7 +41,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """How an answer ended, as its closing frame says."""
+    """How an answer ended, as stated in its last frame."""
 
     COMPLETE = 'complete'
     FAILED = 'failed'
@@ -59,7 +59,7 @@
 
 
 class HealthState(enum.StrEnum):
-    """What the entry thinks of an endpoint from what it has seen."""
+    """Health of an endpoint, from the observations of one entry."""
 
     HEALTHY = 'healthy'
     EJECTED = 'ejected'
@@ -76,7 +76,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """Orders that an engine takes."""
+    """Orders that an engine accepts."""
 
     LOAD_MODEL = 'load_model'
     LOAD_ADAPTER = 'load_adapter'
@@ -84,7 +84,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request was not served; the label of the refusal counter."""
+    """Why a request was refused; label of the refusal counter."""
 
     BAD_REQUEST = 'bad_request'
     UNAUTHENTICATED = 'unauthenticated'
@@ -120,7 +120,7 @@
 
 
 class RetryReason(enum.StrEnum):
-    """Why a request was offered again; the label of the retry counter."""
+    """Why a request was offered again; label of the retry counter."""
 
     DECLINED = 'declined'
     OFFER_LOST = 'offer_lost'
@@ -130,7 +130,7 @@
 
 
 class CancelReason(enum.StrEnum):
-    """Why a run was given up."""
+    """Why a run was cancelled."""
 
     CALLER_GONE = 'caller_gone'
     DEADLINE = 'deadline'
@@ -140,18 +140,18 @@
 
 
 class SettingsVerdict(enum.StrEnum):
-    """What became of a settings tree that the platform or a peer offered."""
+    """Result of checking a settings tree from the platform or a peer."""
 
     ACCEPTED = 'accepted'
     KNOWN = 'known'
     OLDER = 'older'
-    #: Another tree of the version in force, which is kept.
+    #: A different tree with the current version; the current tree is kept.
     CONFLICT = 'conflict'
     INVALID = 'invalid'
 
 
 class ReadOutcome(enum.StrEnum):
-    """How one read of the settings service ended."""
+    """Result of one read of the settings service."""
 
     CHANGED = 'changed'
     UNCHANGED = 'unchanged'
