--- a/packages/sycamore-core/src/sycamore_core/telemetry/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines and metrics for operators."""
+"""JSON logs, Prometheus metrics and attainment of the targets."""
 
 from .attainment import Attainment, AttainmentKey, AttainmentRow
 from .gauges import Gauge
--- a/packages/sycamore-core/src/sycamore_core/telemetry/attainment.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/attainment.py
@@ -1,8 +1,9 @@
-"""Whether the targets are met, and what is owed where they are not.
+"""Counts requests that met or missed their targets, and the penalties owed.
 
-An entry process counts each admitted request that a target applies to when
-its first token reaches the caller or its time is up. It counts for itself,
-since its start; operators add up the rows of all entries.
+An entry process counts each admitted request that a target applies to, when
+the first token reaches the caller or the time limit has passed. Each entry
+counts only its own requests since its start; operators add up the rows of all
+entries.
 """
 
 import msgspec
@@ -11,12 +12,12 @@
 from ..settings import Target
 from ..states import PromptBand
 
-#: Stands for the services beyond those that are named.
+#: Label for all services beyond the number that is listed by name.
 OTHER_SERVICE = ServiceId('other')
 
 
 class AttainmentKey(msgspec.Struct, frozen=True, order=True):
-    """What a count is about."""
+    """Workspace, service and band that a count belongs to."""
 
     workspace: WorkspaceId
     service: ServiceId
@@ -24,14 +25,14 @@
 
 
 class AttainmentCount:
-    """Requests under one target, and the penalties owed.
+    """Number of requests under one target, and the penalties owed.
 
     Attributes
     ----------
     share
-        Part of the requests that the target commits to, from 0 to 1.
+        Fraction of the requests that has to meet the target, from 0 to 1.
     owed
-        Sum of the fixed penalties of the requests that missed it.
+        Sum of the fixed penalties of the requests that missed the target.
     """
 
     def __init__(self) -> None:
@@ -42,18 +43,18 @@
 
     @property
     def requests(self) -> int:
-        """Return how many requests there were."""
+        """Return the number of requests counted."""
         return self.met + self.missed
 
     @property
     def attained(self) -> float:
-        """Return the part that met the target, 1 if there were none."""
+        """Return the fraction that met the target; 1 without requests."""
         if not self.requests:
             return 1
         return self.met / self.requests
 
     def add(self, other: 'AttainmentCount') -> None:
-        """Add the requests of another count."""
+        """Add the requests and penalties of another count."""
         self.share = max(self.share, other.share)
         self.met += other.met
         self.missed += other.missed
@@ -61,12 +62,13 @@
 
 
 class AttainmentRow(msgspec.Struct, frozen=True):
-    """One target as operators see it.
+    """Attainment of one target, as reported to operators.
 
     Attributes
     ----------
     share, attained
-        Part of the requests that the target commits to, and that met it.
+        Fraction of the requests that has to meet the target, and fraction
+        that met it.
     kept
         Whether `attained` reaches `share`.
     owed
@@ -85,8 +87,8 @@
     owed: float
 
 
-class ServiceSum(msgspec.Struct, frozen=True):
-    """Sum over all workspaces of one service and band."""
+class ServiceTotal(msgspec.Struct, frozen=True):
+    """Count for one service and band, summed over all workspaces."""
 
     service: ServiceId
     band: PromptBand
@@ -94,10 +96,10 @@
 
 
 class Attainment:
-    """Counts requests by workspace, service and band.
+    """Counts met and missed targets by workspace, service and band.
 
-    Workspaces and services are those of the settings, so the number of
-    counts is bounded by what operators have published.
+    Workspaces and services come from the published settings, which bound the
+    number of counts.
 
     Examples
     --------
@@ -126,40 +128,41 @@
         Parameters
         ----------
         first_token_seconds
-            Time from its arrival to its first token; None if it got none.
+            Time from arrival to the first token; None without any token.
         """
         count = self.counts.setdefault(key, AttainmentCount())
         count.share = target.share
-        has_met = (
+        is_met = (
             first_token_seconds is not None
             and first_token_seconds <= target.first_token_seconds
         )
-        if has_met:
+        if is_met:
             count.met += 1
         else:
             count.missed += 1
             count.owed += target.penalty
-        return has_met
+        return is_met
 
     def rows(self) -> tuple[AttainmentRow, ...]:
         """Return one row for each workspace, service and band."""
         ordered = sorted(self.counts)
         return tuple(_row(key, self.counts[key]) for key in ordered)
 
-    def by_service(self, limit: int) -> tuple[ServiceSum, ...]:
-        """Return sums over all workspaces, by service and band.
+    def totals_by_service(self, limit: int) -> tuple[ServiceTotal, ...]:
+        """Return totals over all workspaces, by service and band.
 
         Parameters
         ----------
         limit
-            Services named; those beyond it are added up as `OTHER_SERVICE`.
+            Number of services listed by name; the others are added up as
+            `OTHER_SERVICE`.
         """
         services = sorted({key.service for key in self.counts})
         named = frozenset(services[:limit])
-        sums: dict[tuple[ServiceId, PromptBand], ServiceSum] = {}
+        sums: dict[tuple[ServiceId, PromptBand], ServiceTotal] = {}
         for key, count in self.counts.items():
             service = key.service if key.service in named else OTHER_SERVICE
-            empty = ServiceSum(service, key.band, AttainmentCount())
+            empty = ServiceTotal(service, key.band, AttainmentCount())
             total = sums.setdefault((service, key.band), empty)
             total.count.add(count)
         return tuple(sums.values())
--- a/packages/sycamore-core/src/sycamore_core/telemetry/gauges.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/gauges.py
@@ -1,4 +1,4 @@
-"""Values that are read when the page is asked for."""
+"""Gauges and counters that are read when the page is rendered."""
 
 import enum
 from collections.abc import Callable, Iterator
@@ -6,18 +6,18 @@
 
 from opentelemetry.metrics import CallbackOptions, Observation
 
-from .attainment import Attainment, ServiceSum
+from .attainment import Attainment, ServiceTotal
 
-#: Services shown by name on the page; more are added up, so that the settings
-#: cannot make the page grow without bound.
+#: Number of services that the page lists by name; the others are added up, so
+#: that the page is bounded whatever the settings contain.
 MAX_SERVICE_LABELS = 32
 
-Read = Callable[[], float]
+ValueReader = Callable[[], float]
 Callback = Callable[[CallbackOptions], Iterator[Observation]]
 
 
 class Gauge(enum.StrEnum):
-    """What a process may show as a value of the moment."""
+    """Metric names of the current values that a process can export."""
 
     SETTINGS_AGE = 'sycamore_settings_age_seconds'
     LEASES = 'sycamore_leases'
@@ -28,7 +28,7 @@
     PEERS = 'sycamore_peers'
 
 
-#: Texts for the page, by gauge.
+#: Help texts of the gauges.
 DESCRIPTIONS = MappingProxyType(
     {
         Gauge.SETTINGS_AGE: (
@@ -39,37 +39,37 @@
         Gauge.FREE_TOKENS: 'Tokens of memory not leased',
         Gauge.WAITING: 'Requests that wait to be offered or to start',
         Gauge.RUNNING: 'Requests in progress',
-        Gauge.PEERS: 'Other processes heard of lately',
+        Gauge.PEERS: 'Other processes that sent messages lately',
     },
 )
 
 
-def reading(read: Read) -> Callback:
-    """Return a callback that shows what `read` returns."""
+def value_callback(read: ValueReader) -> Callback:
+    """Return a callback that observes the result of `read`."""
     return lambda options: iter((Observation(read()),))
 
 
-def target_requests(attainment: Attainment) -> Callback:
-    """Return a callback that shows requests met and missed by target."""
-    return lambda options: _target_requests(attainment)
+def target_requests_callback(attainment: Attainment) -> Callback:
+    """Return a callback that observes met and missed requests."""
+    return lambda options: _observe_target_requests(attainment)
 
 
-def penalties_owed(attainment: Attainment) -> Callback:
-    """Return a callback that shows the penalties owed by target."""
-    return lambda options: _penalties_owed(attainment)
+def penalties_owed_callback(attainment: Attainment) -> Callback:
+    """Return a callback that observes the penalties owed."""
+    return lambda options: _observe_penalties_owed(attainment)
 
 
-def _target_requests(attainment: Attainment) -> Iterator[Observation]:
-    for total in attainment.by_service(MAX_SERVICE_LABELS):
+def _observe_target_requests(attainment: Attainment) -> Iterator[Observation]:
+    for total in attainment.totals_by_service(MAX_SERVICE_LABELS):
         labels = _labels(total)
         yield Observation(total.count.met, {**labels, 'result': 'met'})
         yield Observation(total.count.missed, {**labels, 'result': 'missed'})
 
 
-def _penalties_owed(attainment: Attainment) -> Iterator[Observation]:
-    for total in attainment.by_service(MAX_SERVICE_LABELS):
+def _observe_penalties_owed(attainment: Attainment) -> Iterator[Observation]:
+    for total in attainment.totals_by_service(MAX_SERVICE_LABELS):
         yield Observation(total.count.owed, _labels(total))
 
 
-def _labels(total: ServiceSum) -> dict[str, str]:
+def _labels(total: ServiceTotal) -> dict[str, str]:
     return {'service': total.service, 'band': total.band.value}
--- a/packages/sycamore-core/src/sycamore_core/telemetry/line_writer.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/line_writer.py
@@ -1,9 +1,9 @@
-"""Writes log lines without ever holding up the process.
+"""Writes log lines without blocking the process.
 
-What goes wrong otherwise: whoever reads the output stops reading, the pipe is
-full, and the next log line blocks the process in the middle of a request.
-Lines are therefore handed to a thread of their own; when too many wait, the
-newest are left out, and the next line that is written says how many.
+Without this, a log collector that stops reading fills the pipe, and the next
+log line blocks the process in the middle of a request. A separate thread
+therefore writes the lines. When its buffer is full, new lines are dropped, and
+a line with the number of dropped lines follows.
 """
 
 import threading
@@ -11,81 +11,83 @@
 from collections import deque
 from typing import TextIO
 
-#: Bytes of lines that wait to be written. A line is about 400 bytes, so that
-#: this holds what a busy entry logs in about ten seconds.
-MOST_WAITING_BYTES = 1_048_576
-#: Lines of this time are written together, in seconds: each write wakes the
-#: thread and costs a system call.
-GATHER_SECONDS = 0.05
-#: How long the end of a process waits for the last lines, in seconds.
-FLUSH_SECONDS = 0.5
-#: Event of the line that says how many were left out.
-LEFT_OUT = 'log_lines_left_out'
+#: Size of the buffer, in bytes. A line has about 400 bytes, so that the buffer
+#: holds what a busy entry logs in about ten seconds.
+MAX_BUFFERED_BYTES = 1_048_576
+#: Lines that arrive within this time are written together, in seconds, since
+#: each write wakes the thread and needs a system call.
+BATCH_INTERVAL_SECONDS = 0.05
+#: Time that a stopping process waits for the last lines, in seconds.
+CLOSE_TIMEOUT_SECONDS = 0.5
+#: Event of the line that reports the number of dropped lines.
+DROPPED_LINES_EVENT = 'log_lines_left_out'
 
 
 class LineWriter:
-    """A stream of lines that never blocks its caller.
+    """Output stream of lines that never blocks the caller.
 
     Attributes
     ----------
     left_out
-        Lines that were not written since the last line that says so.
+        Number of lines dropped since the last report of dropped lines.
     failure
-        Why lines could not be written the last time; empty if they could.
+        Error message of the last failed write; empty if none has failed.
     """
 
     def __init__(
         self,
         stream: TextIO,
-        most_waiting_bytes: int = MOST_WAITING_BYTES,
+        max_buffered_bytes: int = MAX_BUFFERED_BYTES,
     ) -> None:
         self.stream = stream
-        self.most_waiting_bytes = most_waiting_bytes
-        self.left_out = 0
+        self.max_buffered_bytes = max_buffered_bytes
+        self.dropped_lines = 0
         self.failure = ''
-        self._waiting: deque[str] = deque()
-        self._waiting_bytes = 0
+        self._buffer: deque[str] = deque()
+        self._buffered_bytes = 0
         self._lock = threading.Lock()
-        self._arrived = threading.Event()
+        self._has_lines = threading.Event()
         self._idle = threading.Event()
         self._idle.set()
         threading.Thread(target=self._run, daemon=True).start()
 
     def write(self, line: str) -> None:
-        """Take a line, or count it as left out."""
+        """Append a line to the buffer, or drop it if the buffer is full."""
         size = len(line)
         with self._lock:
-            if self._waiting_bytes + size > self.most_waiting_bytes:
-                self.left_out += 1
+            if self._buffered_bytes + size > self.max_buffered_bytes:
+                self.dropped_lines += 1
                 return
-            self._waiting.append(line)
-            self._waiting_bytes += size
+            self._buffer.append(line)
+            self._buffered_bytes += size
             self._idle.clear()
-        self._arrived.set()
+        self._has_lines.set()
 
     def flush(self) -> None:
-        """Return at once; lines are written in their own time."""
+        """Do nothing; the thread writes and flushes the lines."""
 
     def close(self) -> None:
-        """Wait a moment for the last lines."""
-        self._idle.wait(FLUSH_SECONDS)
+        """Wait up to `CLOSE_TIMEOUT_SECONDS` for the last lines."""
+        self._idle.wait(CLOSE_TIMEOUT_SECONDS)
 
     def _run(self) -> None:
         while True:
-            self._arrived.wait()
-            self._arrived.clear()
-            lines = self._take()
+            self._has_lines.wait()
+            self._has_lines.clear()
+            lines = self._pop_lines()
             self._write(''.join(lines))
-            time.sleep(GATHER_SECONDS)
+            time.sleep(BATCH_INTERVAL_SECONDS)
 
-    def _take(self) -> list[str]:
+    def _pop_lines(self) -> list[str]:
         with self._lock:
-            lines = list(self._waiting)
-            self._waiting.clear()
-            if self.left_out:
-                count = self.left_out
-                lines.append(f'{{"event":"{LEFT_OUT}","lines":{count}}}\n')
-                self.left_out = 0
+            lines = list(self._buffer)
+            self._buffer.clear()
+            if self.dropped_lines:
+                count = self.dropped_lines
+                lines.append(
+                    f'{{"event":"{DROPPED_LINES_EVENT}","lines":{count}}}\n'
+                )
+                self.dropped_lines = 0
         return lines
 
     def _write(self, text: str) -> None:
@@ -93,10 +95,10 @@
             self.stream.write(text)
             self.stream.flush()
         except (OSError, ValueError) as error:
-            # Nobody can be told that the log itself cannot be written; the
-            # process goes on serving, and its page of metrics says so.
+            # A failure to write the log cannot be logged. The process goes on
+            # serving without the log.
             self.failure = str(error)
         with self._lock:
-            self._waiting_bytes = sum(len(line) for line in self._waiting)
-            if not self._waiting:
+            self._buffered_bytes = sum(len(line) for line in self._buffer)
+            if not self._buffer:
                 self._idle.set()
--- a/packages/sycamore-core/src/sycamore_core/telemetry/logs.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, with stable event names and no prompt text."""
+"""Logs in JSON lines, with stable event names and without prompt text."""
 
 import atexit
 import sys
@@ -10,8 +10,8 @@
 
 from .line_writer import LineWriter
 
-#: Fields that no log line may have, whatever their content: they name what
-#: callers and operators trust us with.
+#: Fields that are removed from every log line, since they contain secrets or
+#: private content of callers and operators.
 FORBIDDEN_FIELDS = frozenset(
     (
         'api_key',
@@ -27,17 +27,17 @@
 )
 
 
-class JsonLines(logbook.StreamHandler):
-    """Writes each record as one JSON object a line.
+class JsonLinesHandler(logbook.StreamHandler):
+    """Writes each record as one JSON object per line.
 
     Parameters
     ----------
     stream
-        Where the lines go.
+        Stream to which the lines are written.
     level
-        Least level of the records that are written.
+        Lowest level of the records that are written.
     common
-        Fields of every line, such as the name of the process.
+        Fields that every line contains, such as the name of the process.
     """
 
     def __init__(
@@ -68,50 +68,50 @@
 
 
 class Log:
-    """Logger of one part of the system.
+    """Logger of one component.
 
     Parameters
     ----------
     name
-        The part, such as ``entry.peer``.
+        Name of the component, such as ``entry.peer``.
     """
 
     def __init__(self, name: str) -> None:
         self._logger = logbook.Logger(name)
 
     def debug(self, event: str, **fields: Any) -> None:
-        """Write an event that only a search for a fault needs."""
+        """Log an event that is needed only for debugging."""
         self._logger.debug(event, extra=fields)
 
     def info(self, event: str, **fields: Any) -> None:
-        """Write an event of ordinary work."""
+        """Log an event of normal operation."""
         self._logger.info(event, extra=fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Write an event that an operator may want to look at."""
+        """Log an event that an operator may want to check."""
         self._logger.warning(event, extra=fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """Write an event that needs an operator."""
+        """Log an event that requires an operator to act."""
         self._logger.error(event, extra=fields)
 
 
 def start_logging(level: str, **common: Any) -> None:
-    """Send all records of at least `level` to standard output.
+    """Write all records of at least `level` to standard output.
 
-    Writing never blocks, see `LineWriter`.
+    Writing never blocks; see `LineWriter`.
 
     Parameters
     ----------
     common
-        Fields of every line, such as ``process`` and ``zone``.
+        Fields that every line contains, such as ``process`` and ``zone``.
 
     Raises
     ------
     LookupError
-        If there is no such level.
+        If `level` is not the name of a level.
     """
     writer = LineWriter(sys.stdout)
     atexit.register(writer.close)
-    handler = JsonLines(writer, logbook.lookup_level(level), common)
+    handler = JsonLinesHandler(writer, logbook.lookup_level(level), common)
     handler.push_application()
--- a/packages/sycamore-core/src/sycamore_core/telemetry/metrics.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, read as a Prometheus page."""
+"""OpenTelemetry metrics, exported as a Prometheus page."""
 
 import dataclasses
 import operator
@@ -17,17 +17,17 @@
 from .gauges import (
     DESCRIPTIONS,
     Gauge,
-    Read,
-    penalties_owed,
-    reading,
-    target_requests,
+    ValueReader,
+    penalties_owed_callback,
+    target_requests_callback,
+    value_callback,
 )
 from .histograms import Histograms
 from .tallies import Tally
 
 _REASON = 'reason'
-#: Loaded with the first object: they take 0.1 s, a quarter of the time in
-#: which a process that was killed comes back to its callers.
+#: Modules that are imported with the first `Metrics` object. Importing them
+#: takes 0.1 s, a quarter of the time until a killed process serves again.
 _EXPORTER = 'opentelemetry.exporter.prometheus'
 _SDK = 'opentelemetry.sdk.metrics'
 _CLIENT = 'prometheus_client'
@@ -36,9 +36,9 @@
 class Metrics:
     """Counters, histograms and gauges of one process.
 
-    Labels are bounded: reasons, bands and services, never workspaces or
-    requests, so that 2,400 workspaces do not make 2,400 series each. Each
-    object has a registry of its own.
+    The labels have a bounded number of values: reasons, bands and services,
+    never workspaces or requests. Otherwise 2,400 workspaces would add 2,400
+    series to each metric. Each object has its own registry.
 
     Parameters
     ----------
@@ -48,9 +48,9 @@
     Attributes
     ----------
     times
-        Distributions of times.
+        Histograms of times.
     refusals, retries, cancels, reads, offers
-        Counts by reason, outcome or verdict.
+        Counters by reason, outcome or verdict.
 
     Examples
     --------
@@ -69,18 +69,18 @@
             scope_info_enabled=False,
             registry=self.registry,
         )
-        # The provider's own hook at exit would hold every process object that
-        # a test builds until the interpreter ends.
+        # The provider's exit hook would keep every process object that a test
+        # builds in memory until the interpreter exits.
         sdk = import_module(_SDK)
         self.provider = sdk.MeterProvider([reader], shutdown_on_exit=False)
         self.meter = self.provider.get_meter(process)
         self.times = Histograms(self.meter)
-        self._gauges: dict[Gauge, Read] = {}
-        self.refusals = self.tally('refusals', _REASON)
-        self.retries = self.tally('retries', _REASON)
-        self.cancels = self.tally('cancels', _REASON)
-        self.reads = self.tally('settings_reads', 'outcome')
-        self.offers = self.tally('settings_offers', 'verdict')
+        self._gauges: dict[Gauge, ValueReader] = {}
+        self.refusals = self.new_tally('refusals', _REASON)
+        self.retries = self.new_tally('retries', _REASON)
+        self.cancels = self.new_tally('cancels', _REASON)
+        self.reads = self.new_tally('settings_reads', 'outcome')
+        self.offers = self.new_tally('settings_offers', 'verdict')
         self._settings_version = self.meter.create_gauge(
             'sycamore_settings_version',
             description='Settings version in force',
@@ -95,7 +95,7 @@
         self.retries.add(reason)
 
     def cancelled(self, reason: CancelReason) -> None:
-        """Count a run that was given up."""
+        """Count a cancelled run."""
         self.cancels.add(reason)
 
     def first_token(self, band: PromptBand, seconds: float) -> None:
@@ -114,66 +114,67 @@
         """Record the settings version in force."""
         self._settings_version.set(version)
 
-    def watch(self, gauge: Gauge, read: Read) -> None:
-        """Show what `read` returns whenever the page is asked for.
+    def watch(self, gauge: Gauge, read: ValueReader) -> None:
+        """Export the result of `read` as a gauge.
 
-        Where two parts of a process watch one gauge, the later one counts: a
-        page with a value twice cannot be read.
+        `read` is called each time the page is rendered. A second reader of
+        the same gauge replaces the first, since Prometheus rejects a page
+        with two values of one series.
         """
         is_new = gauge not in self._gauges
         self._gauges[gauge] = read
         if is_new:
-            self._show(gauge)
+            self._create_gauge(gauge)
 
     def watch_transport(self, counts: TransportCounts) -> None:
-        """Show the counts of what passed between this process and peers."""
+        """Export the message counts of the transport."""
         for field in dataclasses.fields(counts):
             self.meter.create_observable_counter(
                 f'sycamore_transport_{field.name}',
-                [reading(_count_reader(counts, field.name))],
+                [value_callback(_count_reader(counts, field.name))],
                 description=f'Transport: {field.name} since the start',
             )
 
     def watch_attainment(self, attainment: Attainment) -> None:
-        """Show requests and penalties under targets, over all workspaces."""
+        """Export requests and penalties by target, over all workspaces."""
         self.meter.create_observable_counter(
             'sycamore_target_requests',
-            [target_requests(attainment)],
+            [target_requests_callback(attainment)],
             description='Requests under a target by result',
         )
         self.meter.create_observable_counter(
             'sycamore_penalties_owed',
-            [penalties_owed(attainment)],
+            [penalties_owed_callback(attainment)],
             description='Sum of the penalties owed',
         )
 
     def page(self) -> bytes:
-        """Return the Prometheus page."""
+        """Return the metrics in the Prometheus text format."""
         return self._client.generate_latest(self.registry)
 
     def show(self, name: str, tally: Tally) -> None:
-        """Show counts on the page, also those that were begun before."""
-        words = name.replace('_', ' ')
+        """Export a tally, including what it has counted before this call."""
+        readable_name = name.replace('_', ' ')
         self.meter.create_observable_counter(
             f'sycamore_{name}',
             [tally.observe],
-            description=f'Number of {words} by {tally.label}',
+            description=f'Number of {readable_name} by {tally.label}',
         )
 
-    def tally(self, name: str, label: str) -> Tally:
-        """Return a new count by one label, shown on the page."""
+    def new_tally(self, name: str, label: str) -> Tally:
+        """Return a new tally with one label that is exported."""
         tally = Tally(label)
         self.show(name, tally)
         return tally
 
-    def _show(self, gauge: Gauge) -> None:
+    def _create_gauge(self, gauge: Gauge) -> None:
         self.meter.create_observable_gauge(
             gauge.value,
-            [reading(lambda: self._gauges[gauge]())],
+            [value_callback(lambda: self._gauges[gauge]())],
             description=DESCRIPTIONS[gauge],
         )
 
 
-def _count_reader(counts: TransportCounts, name: str) -> Read:
+def _count_reader(counts: TransportCounts, name: str) -> ValueReader:
     read = operator.attrgetter(name)
     return lambda: read(counts)
--- a/packages/sycamore-core/src/sycamore_core/telemetry/tallies.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/tallies.py
@@ -1,8 +1,9 @@
-"""Counts by one label, which cost next to nothing to increase.
+"""Counters with one label that are cheap to increment.
 
-A counter of the OpenTelemetry library costs about 17 microseconds a time
-here, which an overload that refuses thousands a second would feel. A tally is
-a plain number in a dictionary, and is shown when the page is asked for.
+Incrementing a counter of the OpenTelemetry library takes about 17
+microseconds, which is too much in an overload that refuses thousands of
+requests per second. A tally increments an integer in a dictionary, which is
+read when the page is rendered.
 """
 
 from collections import Counter
@@ -13,7 +14,7 @@
 
 
 class Tally:
-    """Counts how often each value of one label came.
+    """Counter for each value of one label.
 
     Parameters
     ----------
@@ -33,10 +34,10 @@
         self.counts: Counter[str] = Counter()
 
     def add(self, label_value: StrEnum | str) -> None:
-        """Count once."""
+        """Increment the count of a label value."""
         self.counts[str(label_value)] += 1
 
     def observe(self, options: CallbackOptions) -> Iterator[Observation]:
-        """Yield the counts for the page."""
+        """Yield one observation for each label value."""
         for label_value, count in self.counts.items():
             yield Observation(count, {self.label: label_value})
--- a/packages/sycamore-core/src/sycamore_core/telemetry/tests/test_line_writer.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/tests/test_line_writer.py
@@ -1,38 +1,38 @@
-"""Log lines never hold up the process."""
+"""Tests that log lines never block the process."""
 
 import io
 import os
 import threading
 import time
 
-from ..line_writer import LEFT_OUT, LineWriter
+from ..line_writer import DROPPED_LINES_EVENT, LineWriter
 
 LINES = 2000
 LINE = 'x' * 99
 
 
-def test_reader_that_stops_reading_costs_lines_only() -> None:
-    """Whoever collects the log hangs, and the pipe to it is full.
+def test_stalled_reader_does_not_block_the_writer() -> None:
+    """Guards against a hanging log collector that blocks all requests.
 
-    The next request would wait for the log; guests would see the whole entry
-    hang. Lines are lost instead, and their number is said.
+    When the pipe to the collector is full, lines are dropped, and a line
+    reports their number.
     """
-    reading, writing = os.pipe()
-    with os.fdopen(writing, 'w') as stream:
-        writer = LineWriter(stream, most_waiting_bytes=50_000)
+    read_descriptor, write_descriptor = os.pipe()
+    with os.fdopen(write_descriptor, 'w') as stream:
+        writer = LineWriter(stream, max_buffered_bytes=50_000)
         began = time.monotonic()
         for _ in range(LINES):
             writer.write(f'{LINE}\n')
         assert time.monotonic() - began < 1
-        assert writer.left_out
+        assert writer.dropped_lines
         collected: list[bytes] = []
         reader = threading.Thread(
-            target=_read_all, args=(reading, collected), daemon=True
+            target=_read_all, args=(read_descriptor, collected), daemon=True
         )
         reader.start()
         writer.close()
         writer.write('last\n')
-        while LEFT_OUT not in b''.join(collected).decode():
+        while DROPPED_LINES_EVENT not in b''.join(collected).decode():
             time.sleep(0.01)
 
 
@@ -41,17 +41,17 @@
         collected.append(chunk)
 
 
-def test_lines_come_out_in_order() -> None:
+def test_lines_are_written_in_order() -> None:
     stream = io.StringIO()
     writer = LineWriter(stream)
     for number in range(100):
         writer.write(f'{number}\n')
     writer.close()
-    assert stream.getvalue().split() == [str(one) for one in range(100)]
+    assert stream.getvalue().split() == [str(number) for number in range(100)]
 
 
-def test_output_that_is_closed() -> None:
-    """The output is gone; the process goes on without its log."""
+def test_closed_output_is_recorded_as_a_failure() -> None:
+    """Guards against a closed output that ends the process."""
     stream = io.StringIO()
     stream.close()
     writer = LineWriter(stream)
--- a/packages/sycamore-core/src/sycamore_core/telemetry/tests/test_logs.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/tests/test_logs.py
@@ -1,21 +1,21 @@
-"""Tests of the JSON lines."""
+"""Tests of the JSON log lines."""
 
 import io
 
 import msgspec
 
 from .. import Log
-from ..logs import JsonLines
+from ..logs import JsonLinesHandler
 
 
 def line_of(**fields: object) -> dict[str, object]:
     stream = io.StringIO()
-    with JsonLines(stream, common={'process': 'entry-a'}).threadbound():
+    with JsonLinesHandler(stream, common={'process': 'entry-a'}).threadbound():
         Log('entry').info('request_refused', **fields)
     return msgspec.json.decode(stream.getvalue())
 
 
-def test_line_carries_event_process_and_fields() -> None:
+def test_line_contains_event_process_and_fields() -> None:
     line = line_of(request_id='r1', settings_version=3)
     assert line['event'] == 'request_refused'
     assert line['process'] == 'entry-a'
@@ -24,10 +24,10 @@
     assert line['settings_version'] == 3
 
 
-def test_what_callers_trust_us_with_is_left_out() -> None:
-    """A part of the system logs a request with its prompt.
+def test_private_fields_are_removed() -> None:
+    """Guards against a component that logs the prompt of a request.
 
-    Whoever reads the logs would read the guests' messages.
+    Every reader of the logs could read the messages of guests.
     """
     assert 'prompt' not in line_of(prompt='Dear surf school')
 
--- a/packages/sycamore-core/src/sycamore_core/telemetry/tests/test_metrics.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/tests/test_metrics.py
@@ -27,19 +27,19 @@
         assert f'sycamore_retries_total{{reason="{retry}"}} 1.0' in page
 
 
-def test_objects_have_registries_of_their_own() -> None:
-    """Two processes are built in one interpreter, as tests do.
+def test_each_object_has_its_own_registry() -> None:
+    """Guards against a registry that two processes in one interpreter share.
 
-    Each would show the sum of both, or fail on names that are taken.
+    Each would export the sum of both, or fail on a duplicate metric name.
     """
-    left, right = Metrics('left'), Metrics('right')
-    left.settings_version(3)
-    right.settings_read(ReadOutcome.FAILED)
-    assert 'sycamore_settings_version 3.0' in page_of(left)
-    assert 'sycamore_settings_version 3.0' not in page_of(right)
+    first, second = Metrics('first'), Metrics('second')
+    first.settings_version(3)
+    second.settings_read(ReadOutcome.FAILED)
+    assert 'sycamore_settings_version 3.0' in page_of(first)
+    assert 'sycamore_settings_version 3.0' not in page_of(second)
 
 
-def test_times_are_shown_by_band() -> None:
+def test_times_are_exported_by_band() -> None:
     metrics = Metrics('test')
     metrics.first_token(PromptBand.SHORT, 0.45)
     metrics.times.queue_wait(PromptBand.LONG, 3)
@@ -52,7 +52,7 @@
     assert 'token_gap_seconds_bucket{le="0.054"} 1.0' in page
 
 
-def test_values_of_the_moment_are_read_for_the_page() -> None:
+def test_gauges_are_read_when_the_page_is_rendered() -> None:
     metrics, counts = Metrics('test'), TransportCounts()
     metrics.watch(Gauge.SETTINGS_AGE, lambda: counts.stale + 4)
     metrics.watch_transport(counts)
@@ -62,11 +62,11 @@
     assert 'sycamore_transport_stale_total 2.0' in page
 
 
-def test_gauge_that_two_parts_watch_is_shown_once() -> None:
-    """Two parts of a process watch the age of the settings.
+def test_gauge_with_two_readers_is_exported_once() -> None:
+    """Guards against two readers that export one gauge twice.
 
-    A page with one name and two values is refused by whatever reads it, and
-    the operators see nothing of the process.
+    Prometheus rejects a page with two values of one series, so that operators
+    would get no metrics of the process.
     """
     metrics = Metrics('test')
     metrics.watch(Gauge.SETTINGS_AGE, lambda: 1)
@@ -80,10 +80,9 @@
 
 
 def test_page_does_not_grow_with_workspaces_or_services() -> None:
-    """Operators publish thousands of workspaces and many services.
+    """Guards against one series for each of thousands of workspaces.
 
-    A page with a series for each would fill the memory of the process and
-    of whatever reads it.
+    Such a page would exhaust the memory of the process and of its reader.
     """
     metrics, attainment = Metrics('test'), Attainment()
     metrics.watch_attainment(attainment)
@@ -102,7 +101,7 @@
     assert 'workspace-' not in '\n'.join(page)
 
 
-def test_rows_name_each_workspace() -> None:
+def test_each_workspace_has_its_own_row() -> None:
     attainment = Attainment()
     for name, seconds in (('b', 0.5), ('a', None), ('a', 0.5)):
         key = AttainmentKey(
