--- a/packages/sycamore-core/src/sycamore_core/cli/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The commands that both binaries have."""
+"""Commands that both binaries share."""
 
 from .app import make_app
 from .exits import ExitCode
--- a/packages/sycamore-core/src/sycamore_core/cli/app.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/app.py
@@ -1,4 +1,4 @@
-"""The command line that both binaries share."""
+"""Command line that both binaries share."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Mapping
@@ -17,8 +17,8 @@
 from ..telemetry import start_logging
 from . import operator_commands, settings_commands
 from .documents import read_bytes
-from .exits import ExitCode, reporting
-from .request_log import cause_of, lines_of, read_files
+from .exits import ExitCode, report_errors
+from .request_log import lines_of_request, read_files, summarize
 
 Settings = TypeVar('Settings', EntryProcessSettings, EndpointProcessSettings)
 
@@ -32,7 +32,9 @@
 ]
 IsTree = Annotated[
     bool,
-    typer.Option('--tree', help='The schema of a tree, not of a process.'),
+    typer.Option(
+        '--tree', help='Print the schema of a tree, not of a process.'
+    ),
 ]
 CaseFile = Annotated[
     str,
@@ -53,16 +55,16 @@
 
 
 class ProcessCommands(Generic[Settings]):
-    """The commands that differ from binary to binary.
+    """Commands that differ between the binaries.
 
     Parameters
     ----------
     name
-        Name of the binary, which is also that of its distribution.
+        Name of the binary and of its distribution package.
     run
-        Serves with the settings until told to stop.
+        Coroutine function that serves with the settings until stopped.
     kind
-        Type of the settings of its process.
+        Type of the process settings.
     """
 
     def __init__(
@@ -87,7 +89,7 @@
             typer.echo(f'{self.name} {number}')
             raise typer.Exit(ExitCode.OK)
 
-    @reporting
+    @report_errors
     def run(self, settings: SettingsFile) -> None:
         """Serve until SIGTERM, then finish what is in progress."""
         loaded = load_process_settings(settings, self.kind)
@@ -99,7 +101,7 @@
         asyncio.run(self.serve(loaded))
 
     def check_settings(self, files: Files) -> None:
-        """Check files and name everything that is wrong in them.
+        """Check files and list all problems in them.
 
         A file with a "version" is a settings tree, any other the settings of
         a process. The exit code is 3 if one of them cannot be used.
@@ -107,23 +109,23 @@
         settings_commands.check_settings(files, self.kind)
 
     def schema(self, *, tree: IsTree = False) -> None:
-        """Print a JSON schema for editors and other checks."""
+        """Print the JSON schema for editors and other tools."""
         settings_commands.print_schema(TreeNode if tree else self.kind)
 
 
-@reporting
+@report_errors
 def explain_case(case: CaseFile) -> None:
     """Replay one decision from a file, without any network."""
     typer.echo(str(explain(read_bytes(case))))
 
 
-@reporting
+@report_errors
 def explain_request(request_id: RequestName, logs: Logs) -> None:
-    """Show what became of one request, from the logs of several processes."""
-    lines = lines_of(request_id, read_files(logs))
+    """Show what happened to one request, from the logs of several processes."""
+    lines = lines_of_request(request_id, read_files(logs))
     for line in lines:
         typer.echo(str(line))
-    typer.echo(cause_of(lines))
+    typer.echo(summarize(lines))
     if not lines:
         raise typer.Exit(ExitCode.FAILED)
 
@@ -134,8 +136,8 @@
     kind: type[Settings],
 ) -> typer.Typer:
     """Return the command line of one binary; see `ProcessCommands`."""
-    # The formatted help and tracebacks would import another library, which
-    # each serving process would hold in memory for nothing.
+    # Formatted help and tracebacks would import another library and keep it in
+    # the memory of each serving process.
     app = typer.Typer(
         name=name,
         add_completion=False,
@@ -151,13 +153,13 @@
 
 
 def _commands(
-    own: ProcessCommands[Settings],
+    process_commands: ProcessCommands[Settings],
 ) -> Mapping[str, Callable[..., None]]:
     return {
-        'run': own.run,
-        'check-settings': own.check_settings,
+        'run': process_commands.run,
+        'check-settings': process_commands.check_settings,
         'show-settings': settings_commands.show_settings,
-        'schema': own.schema,
+        'schema': process_commands.schema,
         'explain': explain_case,
         'explain-request': explain_request,
         'fleet': operator_commands.fleet,
--- a/packages/sycamore-core/src/sycamore_core/cli/client.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls to an entry process by HTTP, as an operator makes them."""
+"""HTTP client for the operator endpoints of an entry process."""
 
 import functools
 
@@ -10,36 +10,37 @@
 from ..errors import PlatformError
 from .exits import RefusedByEntryError
 
-#: An entry answers operators at once; longer means that it cannot be reached.
+#: An entry answers operators immediately, so that a longer wait means that it
+#: cannot be reached.
 TIMEOUT_SECONDS = 10.0
 _HTTP_OK = 200
 
 
 class _Problem(msgspec.Struct, frozen=True):
-    """The part of a refusal that an operator needs."""
+    """The fields of a refusal that are shown to an operator."""
 
     reason: str = 'no reason given'
     detail: str = ''
 
 
-def ask_entry(entry: str, path: str, key: str) -> bytes:
-    """Return an entry's answer to an operator, as JSON.
+def query_entry(entry: str, path: str, key: str) -> bytes:
+    """Return the JSON answer of an entry to an operator request.
 
     Parameters
     ----------
     entry
         Address of the entry, such as ``http://10.0.0.1:8080``.
     path
-        What is asked for, below ``/v1/operator``.
+        Path of the resource below ``/v1/operator``.
     key
         The operator's key.
 
     Raises
     ------
     PlatformError
-        If the entry does not answer.
+        If the entry cannot be reached or does not answer.
     RefusedByEntryError
-        If the entry refuses the call.
+        If the entry refuses the request.
     """
     base = entry.rstrip('/')
     request = HTTPRequest(
@@ -56,7 +57,7 @@
     finally:
         loop.close()
     if response.code != _HTTP_OK:
-        raise RefusedByEntryError(_refusal_of(response))
+        raise RefusedByEntryError(_refusal_message(response))
     return response.body
 
 
@@ -68,7 +69,7 @@
         client.close()
 
 
-def _refusal_of(response: HTTPResponse) -> str:
+def _refusal_message(response: HTTPResponse) -> str:
     try:
         problem = msgspec.json.decode(response.body, type=_Problem)
     except msgspec.DecodeError:
--- a/packages/sycamore-core/src/sycamore_core/cli/documents.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/documents.py
@@ -1,4 +1,4 @@
-"""Settings documents as the commands read them."""
+"""Reads the settings documents that are passed to commands."""
 
 import pathlib
 from typing import Any
@@ -13,9 +13,10 @@
 
 
 def check_document(path: str, kind: type[msgspec.Struct]) -> str:
-    """Check one file; return in words what it is.
+    """Check one file and return a description of its content.
 
-    A file with a ``version`` is a tree, any other the settings of a process.
+    A file with a ``version`` is a settings tree; any other file contains the
+    settings of a process.
 
     Raises
     ------
@@ -52,7 +53,7 @@
     Raises
     ------
     SettingsError
-        If it cannot be read.
+        If the file cannot be read.
     """
     try:
         return pathlib.Path(path).read_bytes()
--- a/packages/sycamore-core/src/sycamore_core/cli/exits.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of the commands."""
+"""Exit codes of the commands and the errors that lead to them."""
 
 import enum
 import functools
@@ -18,24 +18,24 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a command's exit code says."""
+    """Exit code of a command."""
 
-    #: The command did what it was asked.
+    #: The command succeeded.
     OK = 0
-    #: Something failed that none of the others names.
+    #: The command failed for a reason without its own code.
     FAILED = 1
-    #: The command line itself is wrong.
+    #: The command line is invalid.
     USAGE = 2
-    #: Settings, or a case to explain, cannot be used.
+    #: Settings or the case to explain are invalid.
     UNUSABLE = 3
     #: The entry or the platform does not answer.
     UNREACHABLE = 4
-    #: The entry has refused the call.
+    #: The entry refused the request.
     REFUSED = 5
 
 
 class RefusedByEntryError(SycamoreError):
-    """An entry has answered a call with a refusal."""
+    """An entry refused a request of an operator."""
 
 
 def exit_code_of(error: SycamoreError) -> ExitCode:
@@ -55,8 +55,8 @@
     return ExitCode.FAILED
 
 
-def reporting(command: Callable[_Params, None]) -> Callable[_Params, None]:
-    """Turn the errors of a command into a message and an exit code."""
+def report_errors(command: Callable[_Params, None]) -> Callable[_Params, None]:
+    """Decorate a command to print its error and exit with a matching code."""
 
     @functools.wraps(command)
     def wrapper(*args: _Params.args, **kwargs: _Params.kwargs) -> None:
--- a/packages/sycamore-core/src/sycamore_core/cli/operator_commands.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands that ask an entry process, as an operator."""
+"""Operator commands that query an entry process."""
 
 import os
 import pathlib
@@ -10,12 +10,12 @@
 
 from ..errors import SettingsError
 from ..telemetry import AttainmentRow
-from .client import ask_entry
-from .exits import reporting
-from .tables import as_table
+from .client import query_entry
+from .exits import report_errors
+from .tables import format_table
 
 KEY_VARIABLE = 'SYCAMORE_OPERATOR_KEY'
-_INDENT = 2
+_INDENT_SPACES = 2
 
 Entry = Annotated[
     str,
@@ -27,32 +27,32 @@
 KeyFile = Annotated[
     str,
     typer.Option(
-        help=f'File with the operator key; otherwise ${KEY_VARIABLE} has it.',
+        help=f'File with the operator key; default: ${KEY_VARIABLE}.',
     ),
 ]
 AsJson = Annotated[bool, typer.Option('--json', help='Print JSON.')]
 RequestArgument = Annotated[str, typer.Argument(help='Id of the request.')]
 
 
-@reporting
+@report_errors
 def fleet(entry: Entry, key_file: KeyFile = '') -> None:
     """Show endpoints, queues and the settings version in force."""
-    answer = ask_entry(entry, 'fleet', operator_key(key_file))
+    answer = query_entry(entry, 'fleet', operator_key(key_file))
     typer.echo(_indented(answer))
 
 
-@reporting
+@report_errors
 def attainment(
     entry: Entry,
     key_file: KeyFile = '',
     as_json: AsJson = False,
 ) -> None:
     """Show the targets met and missed, and the penalties owed."""
-    answer = ask_entry(entry, 'attainment', operator_key(key_file))
+    answer = query_entry(entry, 'attainment', operator_key(key_file))
     typer.echo(_indented(answer) if as_json else _attainment_table(answer))
 
 
-@reporting
+@report_errors
 def record(
     request_id: RequestArgument,
     entry: Entry,
@@ -61,16 +61,20 @@
     """Show the record of a refused or failed request."""
     quoted = quote(request_id, safe='')
     key = operator_key(key_file)
-    typer.echo(_indented(ask_entry(entry, f'requests/{quoted}', key)))
+    typer.echo(_indented(query_entry(entry, f'requests/{quoted}', key)))
 
 
 def operator_key(key_file: str) -> str:
-    """Return the operator key; it never stands on a command line.
+    """Return the operator key from a file or the environment.
+
+    The key is not accepted as an argument, since other users of the machine
+    can read command lines.
 
     Raises
     ------
     SettingsError
-        If neither the file nor the variable has it.
+        If no file is named and the variable is not set, or if the file cannot
+        be read.
     """
     if not key_file:
         key = os.environ.get(KEY_VARIABLE, '')
@@ -86,10 +90,10 @@
 
 
 def _indented(answer: bytes) -> str:
-    return msgspec.json.format(answer, indent=_INDENT).decode()
+    return msgspec.json.format(answer, indent=_INDENT_SPACES).decode()
 
 
 def _attainment_table(answer: bytes) -> str:
     rows = msgspec.json.decode(answer, type=tuple[AttainmentRow, ...])
     header = AttainmentRow.__struct_fields__
-    return as_table(header, [msgspec.structs.astuple(row) for row in rows])
+    return format_table(header, [msgspec.structs.astuple(row) for row in rows])
--- a/packages/sycamore-core/src/sycamore_core/cli/request_log.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/request_log.py
@@ -1,4 +1,4 @@
-"""Gathers what several processes logged of one request."""
+"""Collects the log lines of one request from several processes."""
 
 import pathlib
 import sys
@@ -10,18 +10,18 @@
 
 from ..errors import SettingsError
 
-#: Fields that stand in front of a line, or say nothing of a request.
-_COMMON = frozenset(
+#: Fields that are shown at the start of a line or do not describe a request.
+_OMITTED_FIELDS = frozenset(
     ('time', 'level', 'logger', 'event', 'process', 'request_id')
 )
 _REQUEST_ID = 'request_id'
 _STDIN = '-'
 _UNKNOWN = '?'
-_END = 'request_ended'
+_END_EVENT = 'request_ended'
 
 
 class LogLine(msgspec.Struct, frozen=True, order=True):
-    """One line of a log that names the request."""
+    """One log line of a request."""
 
     time: str
     event: str
@@ -29,47 +29,46 @@
     fields: tuple[tuple[str, str], ...]
 
     def __str__(self) -> str:
-        """Return the line as it is shown."""
+        """Return the line as it is printed."""
         shown = ' '.join(f'{name}={text}' for name, text in self.fields)
         return f'{self.time} {self.process} {self.event} {shown}'
 
 
-def lines_of(request_id: str, texts: Iterable[str]) -> list[LogLine]:
-    """Return the lines that name a request, in the order of their times.
+def lines_of_request(request_id: str, texts: Iterable[str]) -> list[LogLine]:
+    """Return the log lines of a request, ordered by time.
 
     Parameters
     ----------
     texts
-        Lines of logs, in any order. Something may stand before the JSON
-        object of a line, as collectors of logs put it there; lines without
-        one are left out.
+        Log lines in any order. Log collectors may add a prefix before the
+        JSON object. Lines without a JSON object are skipped.
     """
-    return sorted(_read_all(request_id, texts))
+    return sorted(_matching_lines(request_id, texts))
 
 
-def cause_of(lines: Iterable[LogLine]) -> str:
-    """Return in a sentence what became of a request.
+def summarize(lines: Iterable[LogLine]) -> str:
+    """Return one sentence about the failures and the end of a request.
 
     Examples
     --------
-    >>> cause_of([])
-    'no line names this request'
+    >>> summarize([])
+    'no log line names this request'
     """
     known = list(lines)
     if not known:
-        return 'no line names this request'
+        return 'no log line names this request'
     parts = [
-        _TEXTS[line.event](dict(line.fields))
+        _DESCRIPTIONS[line.event](dict(line.fields))
         for line in known
-        if line.event in _TEXTS
+        if line.event in _DESCRIPTIONS
     ]
-    if not any(line.event == _END for line in known):
-        parts.append('its end is not in these logs')
+    if not any(line.event == _END_EVENT for line in known):
+        parts.append('the end of the request is not in these logs')
     return '; '.join(parts)
 
 
 def read_files(names: Iterable[str]) -> Iterator[str]:
-    """Yield the lines of some files; ``-`` stands for standard input."""
+    """Yield the lines of files; ``-`` is standard input."""
     for name in names:
         if name == _STDIN:
             yield from sys.stdin
@@ -82,28 +81,28 @@
             raise SettingsError(f'{name}: {error.strerror}') from error
 
 
-def _read_all(request_id: str, texts: Iterable[str]) -> Iterator[LogLine]:
-    # Most lines are about other requests, and need not be decoded.
+def _matching_lines(request_id: str, texts: Iterable[str]) -> Iterator[LogLine]:
+    # Most lines belong to other requests; the check avoids decoding them.
     for text in texts:
-        fields = _read(text) if request_id in text else {}
+        fields = _parse_line(text) if request_id in text else {}
         if fields.get(_REQUEST_ID) == request_id:
-            yield _line(fields)
+            yield _log_line(fields)
 
 
-def _read(text: str) -> dict[str, Any]:
+def _parse_line(text: str) -> dict[str, Any]:
     _, brace, rest = text.partition('{')
     try:
         return msgspec.json.decode(f'{brace}{rest}', type=dict[str, Any])
     except msgspec.DecodeError:
-        # Logs also hold lines of other programs, and torn ones.
+        # Logs also contain lines of other programs and truncated lines.
         return {}
 
 
-def _line(fields: dict[str, Any]) -> LogLine:
+def _log_line(fields: dict[str, Any]) -> LogLine:
     shown = tuple(
         (name, str(found))
         for name, found in fields.items()
-        if name not in _COMMON
+        if name not in _OMITTED_FIELDS
     )
     return LogLine(
         time=str(fields.get('time', '')),
@@ -113,43 +112,43 @@
     )
 
 
-def _failure_text(fields: dict[str, str]) -> str:
+def _describe_failure(fields: dict[str, str]) -> str:
     endpoint = fields.get('at_fault', _UNKNOWN)
     how = fields.get('how', _UNKNOWN)
     detail = fields.get('detail', '')
     return f'attempt at {endpoint}: {how} ({detail})'
 
 
-def _end_text(fields: dict[str, str]) -> str:
+def _describe_end(fields: dict[str, str]) -> str:
     how = fields.get('how', _UNKNOWN)
     total = fields.get('total_ms', _UNKNOWN)
     first = fields.get('first_ms', _UNKNOWN)
     event = f'first event after {first} ms'
     if first.startswith('-'):
-        event = 'no event came'
+        event = 'no event was received'
     return f'ended as {how} after {total} ms, {event}'
 
 
-def _refusal_text(fields: dict[str, str]) -> str:
+def _describe_refusal(fields: dict[str, str]) -> str:
     cause = fields.get('cause', _UNKNOWN)
     detail = fields.get('detail', '')
-    back = fields.get('retry_after', _UNKNOWN)
+    retry_after = fields.get('retry_after', _UNKNOWN)
     version = fields.get('settings_version', _UNKNOWN)
     age = fields.get('settings_age', _UNKNOWN)
     endpoints = fields.get('endpoints', _UNKNOWN)
     entries = fields.get('entries', _UNKNOWN)
     return (
-        f'refused as {cause} ({detail}), to come back after {back} s;'
-        f' decided on settings {version} confirmed {age} s before,'
+        f'refused as {cause} ({detail}), retry after {retry_after} s;'
+        f' decided with settings {version}, confirmed {age} s earlier,'
         f' {endpoints} endpoints and {entries} entries known'
     )
 
 
-#: How each event that decided something is told.
-_TEXTS: Mapping[str, Callable[[dict[str, str]], str]] = MappingProxyType(
+#: Functions that describe the events that explain the result of a request.
+_DESCRIPTIONS: Mapping[str, Callable[[dict[str, str]], str]] = MappingProxyType(
     {
-        'attempt_failed': _failure_text,
-        'forwarding_refused': _refusal_text,
-        _END: _end_text,
+        'attempt_failed': _describe_failure,
+        'forwarding_refused': _describe_refusal,
+        _END_EVENT: _describe_end,
     },
 )
--- a/packages/sycamore-core/src/sycamore_core/cli/settings_commands.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/settings_commands.py
@@ -1,4 +1,4 @@
-"""Commands about settings; none of them uses the network."""
+"""Commands for settings files, which do not use the network."""
 
 from typing import Annotated
 
@@ -10,8 +10,8 @@
 from ..settings import SettingsProblemsError, TreeNode
 from ..settings.provenance import EffectiveValue, effective_values, pairs
 from .documents import check_document, load_tree
-from .exits import ExitCode, reporting
-from .tables import as_table
+from .exits import ExitCode, report_errors
+from .tables import format_table
 
 TreeFile = Annotated[
     str,
@@ -19,11 +19,11 @@
 ]
 Workspace = Annotated[str, typer.Option(help='Only this workspace.')]
 Service = Annotated[str, typer.Option(help='Only this service.')]
-_INDENT = 2
+_INDENT_SPACES = 2
 
 
 def check_settings(files: list[str], kind: type[msgspec.Struct]) -> None:
-    """Check files and say for each whether it can be used."""
+    """Check files and print for each whether it is usable."""
     is_usable = True
     for path in files:
         try:
@@ -31,14 +31,14 @@
         except SettingsError as error:
             is_usable = False
             typer.echo(str(error), err=True)
-            typer.echo(f'{path}: not usable, {_count(error)}', err=True)
+            typer.echo(f'{path}: not usable, {_problem_count(error)}', err=True)
         else:
             typer.echo(f'{path}: {found}')
     if not is_usable:
         raise typer.Exit(ExitCode.UNUSABLE)
 
 
-@reporting
+@report_errors
 def show_settings(
     tree: TreeFile,
     workspace: Workspace = '',
@@ -47,8 +47,8 @@
     """Show the values in force and the level that sets each."""
     loaded = load_tree(tree)
     blocks = [
-        _block(loaded, WorkspaceId(one), ServiceId(other))
-        for one, other in _chosen(loaded, workspace, service)
+        _format_service(loaded, WorkspaceId(owner), ServiceId(name))
+        for owner, name in _selected_pairs(loaded, workspace, service)
     ]
     typer.echo('\n\n'.join(blocks))
 
@@ -56,41 +56,46 @@
 def print_schema(kind: type[msgspec.Struct]) -> None:
     """Print the JSON schema of one kind of settings file."""
     schema = msgspec.json.encode(msgspec.json.schema(kind))
-    typer.echo(msgspec.json.format(schema, indent=_INDENT).decode())
+    typer.echo(msgspec.json.format(schema, indent=_INDENT_SPACES).decode())
 
 
-def _count(error: SettingsError) -> str:
+def _problem_count(error: SettingsError) -> str:
     if isinstance(error, SettingsProblemsError):
         return f'{len(error.problems)} problem(s)'
     return '1 problem'
 
 
-def _chosen(
+def _selected_pairs(
     tree: TreeNode,
     workspace: str,
     service: str,
 ) -> list[tuple[str, str]]:
     if workspace and service:
-        # Both are named: a wrong name is an error that says which there are.
+        # With both names given, `effective_values` reports an unknown name
+        # together with the valid ones.
         return [(workspace, service)]
-    chosen = [
-        (one, other)
-        for one, other in pairs(tree)
-        if workspace in {'', one} and service in {'', other}
+    selected = [
+        (owner, name)
+        for owner, name in pairs(tree)
+        if workspace in {'', owner} and service in {'', name}
     ]
-    if not chosen:
+    if not selected:
         raise SettingsError(
             f'no workspace {workspace!r} with a service {service!r}',
         )
-    return chosen
+    return selected
 
 
-def _block(tree: TreeNode, workspace: WorkspaceId, service: ServiceId) -> str:
-    rows = [_row(row) for row in effective_values(tree, workspace, service)]
-    table = as_table(('setting', 'value', 'from'), rows)
+def _format_service(
+    tree: TreeNode, workspace: WorkspaceId, service: ServiceId
+) -> str:
+    rows = [
+        _format_row(row) for row in effective_values(tree, workspace, service)
+    ]
+    table = format_table(('setting', 'value', 'from'), rows)
     return f'{workspace} / {service}\n{table}'
 
 
-def _row(row: EffectiveValue) -> tuple[str, str, str]:
+def _format_row(row: EffectiveValue) -> tuple[str, str, str]:
     shown = msgspec.json.encode(row.setting).decode()
     return row.field, shown, row.level
--- a/packages/sycamore-core/src/sycamore_core/cli/tests/test_app.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/tests/test_app.py
@@ -1,4 +1,4 @@
-"""Tests of the commands, as an operator types them."""
+"""Tests of the commands, run through the command line."""
 
 import json
 import subprocess
@@ -42,7 +42,7 @@
 
 
 class EntryHandler(BaseHTTPRequestHandler):
-    """Answers operators as an entry does."""
+    """Answers operator requests like an entry."""
 
     answers = {
         '/v1/operator/fleet': {'settings_version': 3},
@@ -87,44 +87,44 @@
 def test_run_serves_with_the_settings(tmp_path: Path) -> None:
     path = tmp_path / 'entry.jsonc'
     path.write_text(PROCESS_FILE)
-    done = invoke('run', '--settings', str(path))
-    assert done.exit_code == ExitCode.OK
+    result = invoke('run', '--settings', str(path))
+    assert result.exit_code == ExitCode.OK
     assert served == ['entry-a']
 
 
-def test_run_without_usable_settings_ends_with_the_reason() -> None:
-    done = invoke('run', '--settings', '/nowhere.jsonc')
-    assert done.exit_code == ExitCode.UNUSABLE
-    assert 'No such file' in done.stderr
+def test_run_without_usable_settings_prints_the_reason() -> None:
+    result = invoke('run', '--settings', '/nowhere.jsonc')
+    assert result.exit_code == ExitCode.UNUSABLE
+    assert 'No such file' in result.stderr
 
 
-def test_good_files_are_named(tree: str, tmp_path: Path) -> None:
+def test_usable_files_are_listed(tree: str, tmp_path: Path) -> None:
     path = tmp_path / 'entry.jsonc'
     path.write_text(PROCESS_FILE)
-    done = invoke('check-settings', tree, str(path))
-    assert done.exit_code == ExitCode.OK
-    assert 'settings tree, version 1, 1 workspaces' in done.stdout
-    assert 'settings of process entry-a' in done.stdout
+    result = invoke('check-settings', tree, str(path))
+    assert result.exit_code == ExitCode.OK
+    assert 'settings tree, version 1, 1 workspaces' in result.stdout
+    assert 'settings of process entry-a' in result.stdout
 
 
-def test_every_problem_of_every_file_is_shown(tmp_path: Path) -> None:
-    bad = small_tree()
-    bad['workspaces']['school'] = {'weight': 0, 'wieght': 1}
+def test_every_problem_of_every_file_is_listed(tmp_path: Path) -> None:
+    invalid_tree = small_tree()
+    invalid_tree['workspaces']['school'] = {'weight': 0, 'wieght': 1}
     path = tmp_path / 'bad.jsonc'
-    path.write_bytes(encoded(bad))
-    done = invoke('check-settings', str(path), '/nowhere.jsonc')
-    assert done.exit_code == ExitCode.UNUSABLE
-    assert 'workspaces.school.weight: found 0' in done.stderr
-    assert 'weight (nearest name)' in done.stderr
-    assert 'bad.jsonc: not usable, 2 problem(s)' in done.stderr
-    assert 'nowhere.jsonc: not usable, 1 problem' in done.stderr
+    path.write_bytes(encoded(invalid_tree))
+    result = invoke('check-settings', str(path), '/nowhere.jsonc')
+    assert result.exit_code == ExitCode.UNUSABLE
+    assert 'workspaces.school.weight: found 0' in result.stderr
+    assert 'weight (nearest name)' in result.stderr
+    assert 'bad.jsonc: not usable, 2 problem(s)' in result.stderr
+    assert 'nowhere.jsonc: not usable, 1 problem' in result.stderr
 
 
 def test_values_in_force_are_shown_with_their_levels(tree: str) -> None:
-    done = invoke('show-settings', tree, '--workspace', 'school')
-    assert done.stdout.startswith('school / chat\nsetting')
-    assert '"m"' in done.stdout
-    assert 'services.chat' in done.stdout
+    result = invoke('show-settings', tree, '--workspace', 'school')
+    assert result.stdout.startswith('school / chat\nsetting')
+    assert '"m"' in result.stdout
+    assert 'services.chat' in result.stdout
     missing = invoke('show-settings', tree, '--workspace', 'none')
     assert missing.exit_code == ExitCode.UNUSABLE
 
@@ -137,7 +137,7 @@
     assert title in json.loads(invoke(*arguments).stdout)['$defs']
 
 
-def test_operators_see_what_the_entry_answers(entry: str) -> None:
+def test_answers_of_the_entry_are_printed(entry: str) -> None:
     fleet = invoke('fleet', '--entry', entry)
     assert json.loads(fleet.stdout) == {'settings_version': 3}
     record = invoke('record', 'k1~r/1', '--entry', entry)
@@ -146,35 +146,35 @@
 
 
 def test_refusal_of_an_entry_has_an_exit_code(entry: str) -> None:
-    done = invoke('fleet', '--entry', entry, key='another')
-    assert done.exit_code == ExitCode.REFUSED
-    assert 'status 401: unauthenticated' in done.stderr
+    result = invoke('fleet', '--entry', entry, key='another')
+    assert result.exit_code == ExitCode.REFUSED
+    assert 'status 401: unauthenticated' in result.stderr
 
 
-def test_silent_entry_has_an_exit_code() -> None:
-    done = invoke('fleet', '--entry', 'http://127.0.0.1:1')
-    assert done.exit_code == ExitCode.UNREACHABLE
+def test_unreachable_entry_has_an_exit_code() -> None:
+    result = invoke('fleet', '--entry', 'http://127.0.0.1:1')
+    assert result.exit_code == ExitCode.UNREACHABLE
 
 
-def test_operator_key_is_needed() -> None:
-    done = invoke('fleet', '--entry', 'http://127.0.0.1:1', key='')
-    assert done.exit_code == ExitCode.UNUSABLE
+def test_operator_key_is_required() -> None:
+    result = invoke('fleet', '--entry', 'http://127.0.0.1:1', key='')
+    assert result.exit_code == ExitCode.UNUSABLE
 
 
-def test_serving_process_does_not_load_what_only_help_needs() -> None:
-    """A library for formatted text or one for models is imported.
+def test_serving_process_does_not_import_help_libraries() -> None:
+    """Guards against imports of `rich` and `pydantic` by a serving process.
 
-    Each process of the fleet would hold it in its 64 MB for nothing.
+    Each process of the fleet would keep the unused modules in its 64 MB.
     """
     program = (
         'import sys, sycamore_core.cli.tests.test_app as tests\n'
         'tests.APP(["--version"], standalone_mode=False)\n'
         'print({"rich", "pydantic"}.isdisjoint(sys.modules))'
     )
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, '-c', program],
         check=True,
         capture_output=True,
         text=True,
     )
-    assert done.stdout.split()[-1] == 'True'
+    assert result.stdout.split()[-1] == 'True'
