--- a/packages/sycamore-core/src/sycamore_core/settings/__init__.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: the process file, the published tree, and what they resolve to."""
+"""Settings: process files, the published tree and its resolved form."""
 
 from .files import load_process_settings
 from .problems import SettingsProblem, SettingsProblemsError
--- a/packages/sycamore-core/src/sycamore_core/settings/checking.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/checking.py
@@ -1,7 +1,7 @@
-"""Check of plain values against a type, which finds all problems at once.
+"""Validation of plain values against a type that finds all problems.
 
-`msgspec.convert` stops at the first problem. This check runs only once that
-has failed, so that good settings cost nothing more.
+`msgspec.convert` stops at the first problem. This check runs only after
+`msgspec.convert` has failed, so that it adds no cost for valid settings.
 """
 
 import difflib
@@ -10,10 +10,10 @@
 
 import msgspec
 
+from .annotations import describe, is_secret, unwrap_annotation
 from .problems import Path, SettingsProblem
-from .shapes import bare, describe, is_secret
 
-_LONGEST_SHOWN = 60
+_MAX_SHOWN_CHARACTERS = 60
 _ELLIPSIS = '...'
 
 
@@ -22,7 +22,7 @@
     annotation: Any,
     path: Path = (),
 ) -> Iterator[SettingsProblem]:
-    """Yield all that keeps `content` from being used as `annotation`.
+    """Yield each problem that makes `content` invalid for `annotation`.
 
     Examples
     --------
@@ -31,7 +31,7 @@
     1: found 'x'; accepted: a whole number
     2: found 'y'; accepted: a whole number
     """
-    kind = bare(annotation)
+    kind = unwrap_annotation(annotation)
     if _is_struct(kind) and isinstance(content, dict):
         yield from _struct_problems(content, kind, path)
     elif get_origin(kind) is dict and isinstance(content, dict):
@@ -42,12 +42,12 @@
         yield from _leaf_problems(content, annotation, path)
 
 
-def nearest(name: str, names: Iterable[str]) -> str:
-    """Return in words which of `names` was meant, or which there are.
+def suggest_name(name: str, names: Iterable[str]) -> str:
+    """Describe the name closest to `name`, or all `names` if none is close.
 
     Examples
     --------
-    >>> nearest('wieght', ['weight', 'services'])
+    >>> suggest_name('wieght', ['weight', 'services'])
     'weight (nearest name)'
     """
     known = sorted(names)
@@ -71,15 +71,19 @@
     names = frozenset(field.name for field in fields)
     for key in content:
         if key not in names:
-            accepted = nearest(key, names)
+            accepted = suggest_name(key, names)
             yield SettingsProblem((*path, key), 'unknown key', accepted)
     for field in fields:
-        place = (*path, field.name)
+        field_path = (*path, field.name)
         entry = content.get(field.name, msgspec.UNSET)
         if entry is not msgspec.UNSET:
-            yield from find_problems(entry, field.type, place)
+            yield from find_problems(entry, field.type, field_path)
         elif field.required:
-            yield SettingsProblem(place, 'missing', describe(field.type))
+            yield SettingsProblem(
+                field_path,
+                'missing',
+                describe(field.type),
+            )
 
 
 def _dict_problems(
@@ -89,10 +93,10 @@
 ) -> Iterator[SettingsProblem]:
     key_annotation, entry_annotation = annotations
     for key, entry in content.items():
-        if not _converts(key, key_annotation):
+        if not _is_convertible(key, key_annotation):
             yield SettingsProblem(
                 (*path, key),
-                'not a key that can stand here',
+                'invalid key',
                 describe(key_annotation),
             )
         yield from find_problems(entry, entry_annotation, (*path, key))
@@ -112,12 +116,12 @@
     annotation: Any,
     path: Path,
 ) -> Iterator[SettingsProblem]:
-    if not _converts(content, annotation):
-        found = _found(content, annotation)
+    if not _is_convertible(content, annotation):
+        found = _describe_found(content, annotation)
         yield SettingsProblem(path, found, describe(annotation))
 
 
-def _converts(content: Any, annotation: Any) -> bool:
+def _is_convertible(content: Any, annotation: Any) -> bool:
     try:
         msgspec.convert(content, annotation)
     except msgspec.ValidationError:
@@ -125,11 +129,11 @@
     return True
 
 
-def _found(content: Any, annotation: Any) -> str:
-    # A key that stands where its hash belongs must not reach a log.
+def _describe_found(content: Any, annotation: Any) -> str:
+    # An API key given in place of its hash must not reach a log.
     if is_secret(annotation):
-        return 'found something else (not shown)'
+        return 'found an invalid value (not shown)'
     shown = repr(content)
-    if len(shown) > _LONGEST_SHOWN:
-        shown = shown[:_LONGEST_SHOWN] + _ELLIPSIS
+    if len(shown) > _MAX_SHOWN_CHARACTERS:
+        shown = shown[:_MAX_SHOWN_CHARACTERS] + _ELLIPSIS
     return f'found {shown}'
--- a/packages/sycamore-core/src/sycamore_core/settings/files.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/files.py
@@ -1,4 +1,4 @@
-"""Reading of settings files: JSON with comments."""
+"""Reading of settings files, in JSON with comments."""
 
 import pathlib
 import re
@@ -11,18 +11,18 @@
 from ..errors import SettingsError
 from .checking import find_problems
 from .problems import SettingsProblem, SettingsProblemsError
-from .pruning import pruned
+from .pruning import without_invalid_values
 
 _Settings = TypeVar('_Settings', bound=msgspec.Struct)
 
-#: Yields what does not fit together in settings whose values are each good.
+#: Yields the violated rules between settings that are each valid alone.
 Rules = Callable[[Any], Iterator[SettingsProblem]]
 
-_OFFSET = re.compile(r'near (\d+)')
+_OFFSET_PATTERN = re.compile(r'near (\d+)')
 
 
 def no_rules(settings: Any) -> Iterator[SettingsProblem]:
-    """Yield nothing: the types say all."""
+    """Yield nothing, for settings that only their types constrain."""
     yield from iter(())
 
 
@@ -36,18 +36,18 @@
 
     Examples
     --------
-    >>> parse_commented_json('{"zone": "a"} // where it runs')
+    >>> parse_commented_json('{"zone": "a"} // availability zone')
     {'zone': 'a'}
     """
     try:
         return pyjson5.decode(text)
     except pyjson5.Json5Exception as error:
-        # The exception also carries what was read so far, which may hold
-        # values that must not be shown.
+        # The exception also carries the content parsed so far, which may
+        # contain secrets. Only its message is used.
         reason = str(error.args[0])
-        place = _place_of(reason, text)
+        position = _format_position(reason, text)
         raise SettingsError(
-            f'{source}: not JSON with comments: {reason}{place}',
+            f'{source}: not JSON with comments: {reason}{position}',
         ) from None
 
 
@@ -57,24 +57,24 @@
     source: str,
     rules: Rules = no_rules,
 ) -> _Settings:
-    """Return plain values as settings of one kind.
+    """Convert plain values to settings of one type.
 
     Raises
     ------
     SettingsProblemsError
-        If they cannot be used; it names all problems at once.
+        If the values are invalid. The error lists all problems.
     """
     try:
         settings = msgspec.convert(content, kind)
     except msgspec.ValidationError:
         problems = list(find_problems(content, kind))
-        rest = pruned(content, kind)
-        if rest is not None:
-            problems.extend(rules(rest))
+        remaining = without_invalid_values(content, kind)
+        if remaining is not None:
+            problems.extend(rules(remaining))
         raise SettingsProblemsError(source, problems) from None
-    broken = tuple(rules(settings))
-    if broken:
-        raise SettingsProblemsError(source, broken)
+    violations = tuple(rules(settings))
+    if violations:
+        raise SettingsProblemsError(source, violations)
     return settings
 
 
@@ -84,7 +84,7 @@
     Raises
     ------
     SettingsError
-        If it cannot be read.
+        If the file cannot be read.
     """
     try:
         return pathlib.Path(path).read_text(encoding='utf-8')
@@ -98,13 +98,13 @@
     Raises
     ------
     SettingsError
-        If the file cannot be read or a value is not allowed.
+        If the file cannot be read or a value is invalid.
     """
     return convert_all(parse_commented_json(read_text(path), path), kind, path)
 
 
-def _place_of(reason: str, text: str) -> str:
-    found = _OFFSET.search(reason)
+def _format_position(reason: str, text: str) -> str:
+    found = _OFFSET_PATTERN.search(reason)
     if found is None:
         return ''
     before = text[: int(found.group(1))]
--- a/packages/sycamore-core/src/sycamore_core/settings/inheritance.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/inheritance.py
@@ -1,4 +1,4 @@
-"""Inheritance: which values are in force for a service of a workspace."""
+"""Inheritance of settings: the effective values for services."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -9,24 +9,24 @@
 from .resolved import ServiceSettings, WorkspaceSettings
 from .tree import ServiceNode, TreeNode
 
-#: The levels from which a service of a workspace takes its values, the
-#: nearest one last.
+#: Levels that set values for a service of a workspace, in order of increasing
+#: precedence.
 Levels = tuple[ServiceNode, ...]
 
 
 class Resolver:
-    """Resolves the services of one tree.
+    """Resolves the settings of the services of one tree.
 
-    Workspaces that override nothing share one value, so that 2,400 of them
-    take little memory.
+    Results are cached by their levels: workspaces that override nothing share
+    one object per service, so that 2,400 workspaces use little memory.
     """
 
     def __init__(self, tree: TreeNode) -> None:
         self.tree = tree
-        self._known: dict[Levels, ServiceSettings] = {}
+        self._resolved: dict[Levels, ServiceSettings] = {}
 
-    def levels(self, workspace: WorkspaceId, service: ServiceId) -> Levels:
-        """Return the levels for a service of a workspace."""
+    def levels_for(self, workspace: WorkspaceId, service: ServiceId) -> Levels:
+        """Return the levels that apply to a service of a workspace."""
         node = self.tree.workspaces[workspace]
         return (
             self.tree.defaults,
@@ -35,11 +35,11 @@
             node.services[service],
         )
 
-    def workspace(self, name: WorkspaceId) -> WorkspaceSettings:
-        """Return the values in force for a workspace."""
+    def workspace_settings(self, name: WorkspaceId) -> WorkspaceSettings:
+        """Return the effective settings of a workspace."""
         node = self.tree.workspaces[name]
         services: Mapping[ServiceId, ServiceSettings] = {
-            service: self.in_force(self.levels(name, service))
+            service: self.service_settings(self.levels_for(name, service))
             for service in node.services
         }
         return WorkspaceSettings(
@@ -49,17 +49,17 @@
             services=services,
         )
 
-    def in_force(self, levels: Levels) -> ServiceSettings:
-        """Return the values that follow from some levels."""
-        known = self._known.get(levels)
-        if known is None:
-            known = merge(levels)
-            self._known[levels] = known
-        return known
+    def service_settings(self, levels: Levels) -> ServiceSettings:
+        """Return the effective settings of a service with these levels."""
+        resolved = self._resolved.get(levels)
+        if resolved is None:
+            resolved = merge(levels)
+            self._resolved[levels] = resolved
+        return resolved
 
 
 def merge(levels: Levels) -> ServiceSettings:
-    """Return the values in force, the last level that sets one going first."""
+    """Return the merged values; a later level overrides an earlier one."""
     merged: dict[str, Any] = {}
     for level in levels:
         merged.update(overrides(level))
@@ -67,7 +67,7 @@
 
 
 def overrides(level: ServiceNode) -> dict[str, Any]:
-    """Return what one level sets, by the name of the field."""
+    """Return the values that one level sets, by field name."""
     return {
         field: getattr(level, field)
         for field in ServiceNode.__struct_fields__
--- a/packages/sycamore-core/src/sycamore_core/settings/problems.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with settings, in words that say how to mend it."""
+"""Descriptions of invalid settings that say what would be accepted."""
 
 from collections.abc import Sequence
 
@@ -6,21 +6,21 @@
 
 from ..errors import SettingsError
 
-#: Keys and list positions that lead from the root to a value.
+#: Keys and list indices from the root to a value.
 Path = tuple[str | int, ...]
 
 
 class SettingsProblem(msgspec.Struct, frozen=True):
-    """One value that cannot be used.
+    """One invalid value in settings.
 
     Attributes
     ----------
     path
-        Where it stands.
+        Path of the value.
     found
-        What stands there; never a secret.
+        Description of the value; never contains a secret.
     accepted
-        What would be accepted instead.
+        Description of an accepted value.
 
     Examples
     --------
@@ -34,19 +34,19 @@
 
     def __str__(self) -> str:
         """Return the problem as one line."""
-        place = '.'.join(str(key) for key in self.path) or '(root)'
-        return f'{place}: {self.found}; accepted: {self.accepted}'
+        path = '.'.join(str(key) for key in self.path) or '(root)'
+        return f'{path}: {self.found}; accepted: {self.accepted}'
 
 
 class SettingsProblemsError(SettingsError):
-    """Settings cannot be used, for one or more reasons.
+    """Settings are invalid, for one or more reasons.
 
     Parameters
     ----------
     source
-        The file, or what was published.
+        Path of the file, or description of the published tree.
     problems
-        All that is wrong.
+        All problems found.
     """
 
     def __init__(
--- a/packages/sycamore-core/src/sycamore_core/settings/process.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/process.py
@@ -1,7 +1,7 @@
-"""Settings of one process, read from its file at the start.
+"""Settings of one process, read from its file when the process starts.
 
-They hold what differs from instance to instance: names, addresses, the zone
-and where secrets are. All else is in the published tree.
+The file holds what differs between instances: names, addresses, the zone and
+the locations of secrets. All other settings are in the published tree.
 """
 
 import enum
@@ -21,13 +21,13 @@
     ProcessName,
     RegionName,
     Seconds,
-    SecretPlace,
+    SecretLocation,
     ZoneName,
 )
 
 
 class LogLevel(enum.StrEnum):
-    """Least level of the log lines that are written."""
+    """Lowest level of the log lines that are written."""
 
     DEBUG = 'DEBUG'
     INFO = 'INFO'
@@ -48,7 +48,7 @@
     """
 
     signing: KeyName
-    files: dict[KeyName, SecretPlace]
+    files: dict[KeyName, SecretLocation]
 
 
 class EntryProcessSettings(
--- a/packages/sycamore-core/src/sycamore_core/settings/provenance.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/provenance.py
@@ -1,4 +1,4 @@
-"""Which level of the tree each value in force comes from."""
+"""Provenance of effective values: which level of the tree sets each one."""
 
 import functools
 from collections.abc import Iterator
@@ -8,7 +8,7 @@
 
 from ..errors import SettingsError
 from ..ids import ServiceId, WorkspaceId
-from .checking import nearest
+from .checking import suggest_name
 from .inheritance import Resolver, merge, overrides
 from .tree import TreeNode
 
@@ -16,12 +16,13 @@
 
 
 class EffectiveValue(msgspec.Struct, frozen=True):
-    """One value in force for a service of a workspace.
+    """One effective value for a service of a workspace.
 
     Attributes
     ----------
     level
-        Path in the tree of the object that sets it, or ``built in``.
+        Path in the tree of the node that sets the value, or ``built in`` for
+        the default of the type.
     """
 
     field: str
@@ -34,16 +35,17 @@
     workspace: WorkspaceId,
     service: ServiceId,
 ) -> tuple[EffectiveValue, ...]:
-    """Return the values in force for a service, and where they come from.
+    """Return the effective values for a service, with their sources.
 
     Raises
     ------
     SettingsError
-        If the tree has no such workspace, or it no such service.
+        If the tree has no such workspace, or the workspace has no such
+        service.
     """
     _require(workspace, tree.workspaces, 'workspace')
     _require(service, tree.workspaces[workspace].services, 'service')
-    levels = Resolver(tree).levels(workspace, service)
+    levels = Resolver(tree).levels_for(workspace, service)
     names = (
         'defaults',
         f'services.{service}',
@@ -78,7 +80,7 @@
     return workspace, service
 
 
-def _require(name: str, names: Any, what: str) -> None:
+def _require(name: str, names: Any, kind: str) -> None:
     if name not in names:
-        accepted = nearest(name, names)
-        raise SettingsError(f'no {what} {name!r}; accepted: {accepted}')
+        accepted = suggest_name(name, names)
+        raise SettingsError(f'no {kind} {name!r}; accepted: {accepted}')
--- a/packages/sycamore-core/src/sycamore_core/settings/pruning.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/pruning.py
@@ -1,4 +1,4 @@
-"""Settings without their bad values, to find what else is wrong."""
+"""Removal of invalid values, so that the rules can check the others."""
 
 import copy
 import functools
@@ -12,41 +12,44 @@
 
 _Settings = TypeVar('_Settings', bound=msgspec.Struct)
 
-#: A bad value, then the object that misses it, then the object around that.
-_ROUNDS = 4
+#: Three rounds may remove values: first the invalid value, then the object that
+#: lacks it, then the object around that one. The fourth converts the result.
+_MAX_ROUNDS = 4
 
 
-def pruned(content: Any, kind: type[_Settings]) -> _Settings | None:
-    """Return what is left of settings without their bad values.
+def without_invalid_values(
+    content: Any, kind: type[_Settings]
+) -> _Settings | None:
+    """Return settings without their invalid values.
 
-    The rules between the parts can then be checked in the same run. None is
-    returned if nothing usable is left.
+    The rules between values can then be checked in the same run. The result
+    is None if the remaining values are still invalid.
     """
-    rest = copy.deepcopy(content)
-    for _ in range(_ROUNDS):
+    remaining = copy.deepcopy(content)
+    for _ in range(_MAX_ROUNDS):
         try:
-            return msgspec.convert(rest, kind)
+            return msgspec.convert(remaining, kind)
         except msgspec.ValidationError:
-            _remove_bad(rest, kind)
+            _remove_invalid_values(remaining, kind)
     return None
 
 
-def _remove_bad(content: Any, kind: type[msgspec.Struct]) -> None:
+def _remove_invalid_values(content: Any, kind: type[msgspec.Struct]) -> None:
     problems = find_problems(content, kind)
-    paths = {_present_part(content, problem.path) for problem in problems}
-    # In reverse order each list is cut from its end, so that the positions
-    # before stay as found, and what is inside goes before what is around it.
+    paths = {_existing_part(content, problem.path) for problem in problems}
+    # Reverse order removes the items of a list from its end, which keeps the
+    # earlier indices valid, and removes a value before its parent.
     for path in sorted(paths, reverse=True):
         if path:
             parent = functools.reduce(operator.getitem, path[:-1], content)
             parent.pop(path[-1])
 
 
-def _present_part(content: Any, path: Path) -> Path:
-    """Return the path as far as it exists.
+def _existing_part(content: Any, path: Path) -> Path:
+    """Return the longest part of a path that exists in `content`.
 
-    Where a required value is missing, that leads to the object which misses
-    it and cannot be used either.
+    For a missing required value this is the path of the object that lacks it,
+    which is invalid too.
     """
     for depth, key in enumerate(path):
         if isinstance(content, dict) and key not in content:
--- a/packages/sycamore-core/src/sycamore_core/settings/reference.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/reference.py
@@ -1,7 +1,7 @@
-"""The settings reference of the documentation, made from the types.
+"""Generator of the settings reference page, from the types of the settings.
 
-``python -m sycamore_core.settings.reference`` prints the page; a test holds
-the committed page to it.
+``python -m sycamore_core.settings.reference`` prints the page. A test compares
+the committed page with the generated one.
 """
 
 import inspect
@@ -12,19 +12,19 @@
 
 import msgspec
 
+from .annotations import describe, unwrap_annotation
 from .process import (
     EndpointProcessSettings,
     EntryProcessSettings,
     PeerKeyFiles,
 )
 from .resolved import BandLimits, PolicySettings, ServiceSettings, Target
-from .shapes import bare, describe
 from .tree import EndpointNode, ServiceNode, TreeNode, WorkspaceNode
-from .values import NAME_TEXT
+from .values import NAME_DESCRIPTION
 
 Kind = type[msgspec.Struct]
 
-#: The objects of the reference, those that hold others first.
+#: Types on the page; a type precedes the types that it contains.
 KINDS = (
     TreeNode,
     WorkspaceNode,
@@ -37,7 +37,7 @@
     EndpointProcessSettings,
     PeerKeyFiles,
 )
-_NAME = 'a name'
+_SHORT_NAME_DESCRIPTION = 'a name'
 _HEADER = f"""\
 # Settings reference
 
@@ -46,22 +46,22 @@
 
 `TreeNode` is what operators publish; `EntryProcessSettings` and
 `EndpointProcessSettings` are the files of the processes. Wherever "a name" is
-accepted, it is {NAME_TEXT}.
+accepted, it is {NAME_DESCRIPTION}.
 """
-_INDENTED = re.compile(r'^\s+')
+_INDENTATION = re.compile(r'^\s+')
 
 
 def reference_page() -> str:
-    """Return the whole page, as Markdown."""
+    """Return the page as Markdown."""
     return '\n'.join((_HEADER, *map(_section, KINDS)))
 
 
-def attribute_texts(kind: Kind) -> Mapping[str, str]:
-    """Return what the docstring of a type says of each attribute.
+def attribute_descriptions(kind: Kind) -> Mapping[str, str]:
+    """Return the description of each attribute from a type's docstring.
 
     Examples
     --------
-    >>> attribute_texts(WorkspaceNode)['api_key_hashes']
+    >>> attribute_descriptions(WorkspaceNode)['api_key_hashes']
     'SHA-256 of each API key of the workspace.'
     """
     docstring = inspect.getdoc(kind) or ''
@@ -69,7 +69,7 @@
     texts: dict[str, str] = {}
     names: list[str] = []
     for line in section.splitlines():
-        if not _INDENTED.match(line):
+        if not _INDENTATION.match(line):
             names = line.split(', ')
             texts.update(dict.fromkeys(names, ''))
             continue
@@ -94,33 +94,35 @@
 
 
 def _rows(kind: Kind) -> Iterator[str]:
-    texts = attribute_texts(kind)
+    descriptions = attribute_descriptions(kind)
     for field in msgspec.structs.fields(kind):
         cells = (
             f'`{field.name}`',
-            _accepted(field.type).replace(NAME_TEXT, _NAME),
-            _default(kind, field),
-            texts[field.name],
+            _format_type(field.type).replace(
+                NAME_DESCRIPTION, _SHORT_NAME_DESCRIPTION
+            ),
+            _format_default(kind, field),
+            descriptions[field.name],
         )
         joined = ' | '.join(cells)
         yield f'| {joined} |'
 
 
-def _accepted(annotation: Any) -> str:
-    kind = bare(annotation)
+def _format_type(annotation: Any) -> str:
+    kind = unwrap_annotation(annotation)
     arguments = get_args(kind)
     if get_origin(kind) is dict:
         names, entries = arguments
-        return f'an object, by {describe(names)}; each {_accepted(entries)}'
+        return f'an object, by {describe(names)}; each {_format_type(entries)}'
     if get_origin(kind) is tuple:
-        return f'a list, each {_accepted(arguments[0])}'
+        return f'a list, each {_format_type(arguments[0])}'
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         name = kind.__name__
         return f'[{name}](#{name.lower()})'
     return describe(annotation)
 
 
-def _default(kind: Kind, field: msgspec.structs.FieldInfo) -> str:
+def _format_default(kind: Kind, field: msgspec.structs.FieldInfo) -> str:
     if field.required:
         return 'required'
     default = field.default
--- a/packages/sycamore-core/src/sycamore_core/settings/resolve.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/resolve.py
@@ -1,43 +1,43 @@
-"""A published tree, checked as a whole and resolved."""
+"""Validation and resolution of a published settings tree."""
 
 from ..errors import SettingsError
 from ..ids import EndpointId, SettingsVersion
 from .files import convert_all, parse_commented_json
 from .inheritance import Resolver
 from .resolved import EndpointSettings, FleetSettings
-from .rules import broken_rules
+from .rules import rule_violations
 from .tree import EndpointNode, TreeNode
 
 
 def read_tree(body: bytes, source: str = 'settings') -> TreeNode:
-    """Check a published tree whole.
+    """Parse and validate a published tree.
 
     Parameters
     ----------
     source
-        What errors call the tree: its file, or what was published.
+        Name of the tree in error messages, such as its file path.
 
     Raises
     ------
     SettingsError
-        If the tree cannot be used; it names each path, what stands there and
-        what would be accepted.
+        If the tree is invalid. For each problem the error names the path, the
+        value found and what would be accepted.
     """
     try:
         text = body.decode('utf-8')
     except UnicodeDecodeError as error:
         raise SettingsError(f'{source}: not UTF-8: {error}') from error
     content = parse_commented_json(text, source)
-    return convert_all(content, TreeNode, source, broken_rules)
+    return convert_all(content, TreeNode, source, rule_violations)
 
 
 def resolve_tree(body: bytes, source: str = 'settings') -> FleetSettings:
-    """Check a published tree whole and resolve its inheritance.
+    """Validate a published tree and resolve its inheritance.
 
     Raises
     ------
     SettingsError
-        As `read_tree` does.
+        If the tree is invalid, as for `read_tree`.
     """
     tree = read_tree(body, source)
     resolver = Resolver(tree)
@@ -49,7 +49,9 @@
             for region, zones in tree.regions.items()
             for zone in zones
         },
-        workspaces={name: resolver.workspace(name) for name in tree.workspaces},
+        workspaces={
+            name: resolver.workspace_settings(name) for name in tree.workspaces
+        },
         endpoints={
             name: _resolve_endpoint(name, node)
             for name, node in tree.endpoints.items()
--- a/packages/sycamore-core/src/sycamore_core/settings/resolved.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/resolved.py
@@ -1,7 +1,7 @@
-"""What a published settings tree resolves to, after inheritance.
+"""Types of a published settings tree after inheritance is resolved.
 
-These types hold no optional fields that a reader would have to look up
-elsewhere: each value is the one in force.
+Each field holds the effective value. No field is left unset for the reader to
+look up at another level.
 """
 
 from collections.abc import Mapping
@@ -43,21 +43,22 @@
 
 
 class ServiceSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The values in force for one service of one workspace.
+    """Effective settings of one service of one workspace.
 
     Attributes
     ----------
     max_prompt_tokens, max_output_tokens
-        Largest sizes taken, in tokens.
+        Largest prompt and largest output accepted, in tokens.
     default_time_limit_seconds
-        Used when a caller names no time limit; 0 means that one is required.
+        Time limit of a request whose caller gives none, in seconds; 0 means
+        that the caller must give one.
     longest_time_limit_seconds
         Longest time limit that a caller may ask for, in seconds.
     idempotent
         Whether a request may run more than once unless its caller says
         otherwise.
     max_body_bytes
-        Largest request body taken, in bytes.
+        Largest request body accepted, in bytes.
     """
 
     kind: EndpointKind = EndpointKind.MODEL
@@ -71,7 +72,7 @@
     targets: tuple[Target, ...] = ()
 
     def target_for(self, band: PromptBand) -> Target | None:
-        """Return the target of a band, or None if there is none."""
+        """Return the target of a band, or None if the band has no target."""
         for target in self.targets:
             if target.band == band:
                 return target
@@ -79,14 +80,15 @@
 
 
 class WorkspaceSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The values in force for one workspace.
+    """Effective settings of one workspace.
 
     Attributes
     ----------
     weight
         Share of the capacity relative to the other workspaces.
     api_key_hashes
-        SHA-256 of each API key, in hexadecimal; no secret is published.
+        SHA-256 of each API key, in hexadecimal. The keys themselves are
+        secret and are not published.
     """
 
     workspace: WorkspaceId
@@ -96,12 +98,13 @@
 
 
 class EndpointSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """One endpoint of the fleet, as the operators have published it.
+    """Published settings of one endpoint of the fleet.
 
     Attributes
     ----------
     address
-        Where its endpoint process listens, as ``tcp://IP:PORT``.
+        Address on which the endpoint process listens, as
+        ``tcp://IP:PORT``.
     draining
         Set by an operator to take the endpoint out of service.
     capacity_tokens
@@ -169,7 +172,7 @@
 
 
 class FleetSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole published tree, resolved.
+    """A published settings tree after inheritance is resolved.
 
     Attributes
     ----------
@@ -188,7 +191,7 @@
     operator_key_hashes: tuple[str, ...] = ()
 
     def endpoints_of(self, service: ServiceId) -> tuple[EndpointSettings, ...]:
-        """Return the endpoints that serve `service`, in the order of names."""
+        """Return the endpoints that serve `service`, sorted by name."""
         return tuple(
             self.endpoints[name]
             for name in sorted(self.endpoints)
--- a/packages/sycamore-core/src/sycamore_core/settings/rules.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/rules.py
@@ -1,13 +1,13 @@
-"""Rules between the parts of a settings tree.
+"""Rules that involve several values of a settings tree.
 
-What one value alone must satisfy is in its type, see `values`.
+The constraints on a single value belong to its type, see `values`.
 """
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
 
 from ..ids import ServiceId
-from .checking import nearest
+from .checking import suggest_name
 from .inheritance import Levels, Resolver
 from .problems import Path, SettingsProblem
 from .resolved import BandLimits, ServiceSettings
@@ -17,26 +17,26 @@
 _ENDPOINTS = 'endpoints'
 _DEFAULTS = 'defaults'
 _WORKSPACES = 'workspaces'
-_NOTHING_SET = ServiceNode()
+_EMPTY_NODE = ServiceNode()
 
 
-def broken_rules(tree: TreeNode) -> Iterator[SettingsProblem]:
-    """Yield what does not fit together in a tree."""
+def rule_violations(tree: TreeNode) -> Iterator[SettingsProblem]:
+    """Yield a problem for each rule that a tree violates."""
     yield from _zone_problems(tree)
     yield from _endpoint_problems(tree)
     yield from _address_problems(tree)
     yield from _band_problems(tree.policy.bands)
     for path, node in service_nodes(tree):
-        if node != _NOTHING_SET:
-            yield from _doubled_targets(path, node)
+        if node != _EMPTY_NODE:
+            yield from _duplicate_target_problems(path, node)
     yield from _time_limit_problems(tree)
-    known = served_names(tree)
+    known = known_services(tree)
     for name, workspace in tree.workspaces.items():
-        yield from _unknown_services(known, name, workspace)
+        yield from _unknown_service_problems(known, name, workspace)
 
 
 def service_nodes(tree: TreeNode) -> Iterator[tuple[Path, ServiceNode]]:
-    """Yield each place where values of a service are set."""
+    """Yield the path and node of each place that sets values of a service."""
     yield (_DEFAULTS,), tree.defaults
     for service, node in tree.services.items():
         yield (_SERVICES, service), node
@@ -47,18 +47,18 @@
             yield (*path, _SERVICES, service), node
 
 
-def served_names(tree: TreeNode) -> frozenset[ServiceId]:
-    """Return the services that the deployment or an endpoint names."""
+def known_services(tree: TreeNode) -> frozenset[ServiceId]:
+    """Return the services named by the deployment or by an endpoint."""
     served = {endpoint.service for endpoint in tree.endpoints.values()}
     return frozenset(served | set(tree.services))
 
 
 def _zone_problems(tree: TreeNode) -> Iterator[SettingsProblem]:
     zones = [zone for zones in tree.regions.values() for zone in zones]
-    for zone in _doubled(zones):
+    for zone in _duplicates(zones):
         yield SettingsProblem(
             ('regions',),
-            f'zone {zone} stands twice',
+            f'zone {zone} is listed more than once',
             'each zone in one region',
         )
 
@@ -71,14 +71,16 @@
     for name, endpoint in tree.endpoints.items():
         path: Path = (_ENDPOINTS, name)
         if endpoint.zone not in zones:
-            yield _unknown((*path, 'zone'), endpoint.zone, zones)
+            yield _unknown_name_problem((*path, 'zone'), endpoint.zone, zones)
         if endpoint.service not in services:
-            yield _unknown((*path, 'service'), endpoint.service, services)
+            yield _unknown_name_problem(
+                (*path, 'service'), endpoint.service, services
+            )
 
 
 def _address_problems(tree: TreeNode) -> Iterator[SettingsProblem]:
     addresses = [endpoint.address for endpoint in tree.endpoints.values()]
-    for address in _doubled(addresses):
+    for address in _duplicates(addresses):
         names = ', '.join(
             sorted(
                 name
@@ -88,7 +90,7 @@
         )
         yield SettingsProblem(
             (_ENDPOINTS,),
-            f'{address} stands at {names}',
+            f'{address} is used by {names}',
             'another address for each endpoint',
         )
 
@@ -103,40 +105,43 @@
         )
 
 
-def _doubled_targets(
+def _duplicate_target_problems(
     path: Path,
     node: ServiceNode,
 ) -> Iterator[SettingsProblem]:
     targets = node.targets or ()
-    for band in _doubled([target.band.value for target in targets]):
+    for band in _duplicates([target.band.value for target in targets]):
         yield SettingsProblem(
             (*path, 'targets'),
-            f'{band} stands twice',
+            f'{band} is listed more than once',
             'one target for each band',
         )
 
 
 def _time_limit_problems(tree: TreeNode) -> Iterator[SettingsProblem]:
-    """Check the values in force, whichever levels they come from.
+    """Check the effective time limits, whichever levels set them.
 
-    Many workspaces have the same ones: the first place stands for all.
+    Many workspaces share the same levels. A problem of such levels is
+    reported once, with the first path at which they occur.
     """
     resolver = Resolver(tree)
     seen: set[Levels] = set()
-    for path, levels in _services_in_force(resolver):
+    for path, levels in _service_levels(resolver):
         if levels not in seen:
             seen.add(levels)
-            yield from _beyond_longest(path, resolver.in_force(levels))
+            yield from _excessive_time_problems(
+                path, resolver.service_settings(levels)
+            )
 
 
-def _services_in_force(resolver: Resolver) -> Iterator[tuple[Path, Levels]]:
+def _service_levels(resolver: Resolver) -> Iterator[tuple[Path, Levels]]:
     for name, workspace in resolver.tree.workspaces.items():
         for service in workspace.services:
             path: Path = (_WORKSPACES, name, _SERVICES, service)
-            yield path, resolver.levels(name, service)
+            yield path, resolver.levels_for(name, service)
 
 
-def _beyond_longest(
+def _excessive_time_problems(
     path: Path,
     settings: ServiceSettings,
 ) -> Iterator[SettingsProblem]:
@@ -144,16 +149,16 @@
     accepted = f'at most {longest}, its longest_time_limit_seconds'
     default = settings.default_time_limit_seconds
     if default > longest:
-        place: Path = (*path, 'default_time_limit_seconds')
-        yield SettingsProblem(place, f'{default} is in force', accepted)
+        full_path: Path = (*path, 'default_time_limit_seconds')
+        yield SettingsProblem(full_path, f'{default} is in force', accepted)
     for target in settings.targets:
         seconds = target.first_token_seconds
         if seconds > longest:
-            place = (*path, 'targets', target.band.value)
-            yield SettingsProblem(place, f'{seconds} is in force', accepted)
+            full_path = (*path, 'targets', target.band.value)
+            yield SettingsProblem(full_path, f'{seconds} is in force', accepted)
 
 
-def _unknown_services(
+def _unknown_service_problems(
     known: frozenset[ServiceId],
     name: str,
     workspace: WorkspaceNode,
@@ -164,15 +169,17 @@
             yield SettingsProblem(
                 path,
                 'a service that neither the deployment nor an endpoint names',
-                nearest(service, known),
+                suggest_name(service, known),
             )
 
 
-def _unknown(path: Path, name: str, names: Iterable[str]) -> SettingsProblem:
-    return SettingsProblem(path, f'found {name!r}', nearest(name, names))
+def _unknown_name_problem(
+    path: Path, name: str, names: Iterable[str]
+) -> SettingsProblem:
+    return SettingsProblem(path, f'found {name!r}', suggest_name(name, names))
 
 
-def _doubled(names: Iterable[str]) -> Iterator[str]:
+def _duplicates(names: Iterable[str]) -> Iterator[str]:
     for name, count in Counter(names).items():
         if count > 1:
             yield name
--- a/packages/sycamore-core/src/sycamore_core/settings/tests/builders.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of settings trees, as plain values."""
+"""Builders of settings trees as plain values."""
 
 import hashlib
 import json
@@ -6,7 +6,7 @@
 
 
 def small_tree() -> dict[str, Any]:
-    """Return a valid tree that a test may change."""
+    """Return a valid tree that a test may modify."""
     return {
         'version': 1,
         'name': 'test',
@@ -18,7 +18,7 @@
 
 
 def workspace(key: str, *services: str) -> dict[str, Any]:
-    """Return a workspace that may use some services."""
+    """Return a workspace that may use the given services."""
     return {
         'api_key_hashes': [hashlib.sha256(key.encode()).hexdigest()],
         'services': {service: {} for service in services},
@@ -37,12 +37,12 @@
 
 
 def encoded(content: Any) -> bytes:
-    """Return plain values as they are published."""
+    """Return plain values as a published body, in JSON."""
     return json.dumps(content, separators=(',', ':')).encode()
 
 
 def large_tree(workspaces: int, endpoints: int) -> dict[str, Any]:
-    """Return a tree of six models, each workspace using two of them."""
+    """Return a tree with six models; each workspace uses two of them."""
     services = [f'chat-{model}' for model in range(6)]
     content = small_tree()
     content['services'] = {name: {'model': name} for name in services}
--- a/packages/sycamore-core/src/sycamore_core/settings/tests/test_any_content.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/tests/test_any_content.py
@@ -1,4 +1,4 @@
-"""Test of trees with any content at all."""
+"""Property tests of settings trees with arbitrary content."""
 
 import json
 from typing import Any
@@ -34,7 +34,7 @@
 )
 
 
-def is_resolved_or_refused(body: bytes) -> bool:
+def resolves_or_raises_settings_error(body: bytes) -> bool:
     try:
         return resolve_tree(body).name is not None
     except SettingsError as error:
@@ -46,28 +46,30 @@
 @example(place='targets', content=[{}], outer=False)
 @example(place='targets', content=[{}, 1, {'band': 'short'}], outer=False)
 @example(place='endpoints', content={'a': {}, 'b': 1}, outer=True)
-def test_any_content_is_resolved_or_refused(
+def test_any_content_is_resolved_or_raises_settings_error(
     place: str,
     content: Any,
     *,
     outer: bool,
 ) -> None:
-    """An operator publishes something that is far from a tree.
+    """Arbitrary content raises no error other than `SettingsError`.
 
-    An error of another kind would end the task that reads settings, and the
-    process would never take another version into force.
+    Another error would end the task that reads settings, and the process
+    would never apply a later version.
     """
     tree: dict[str, Any] = small_tree()
     (tree if outer else tree['services']['chat'])[place] = content
-    assert is_resolved_or_refused(encoded(tree))
+    assert resolves_or_raises_settings_error(encoded(tree))
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(body=st.binary(max_size=40) | st.text(max_size=40).map(str.encode))
-def test_any_bytes_are_resolved_or_refused(body: bytes) -> None:
-    assert is_resolved_or_refused(body)
+def test_any_bytes_are_resolved_or_raise_settings_error(body: bytes) -> None:
+    assert resolves_or_raises_settings_error(body)
 
 
-def test_deep_nesting_is_refused() -> None:
-    assert is_resolved_or_refused(b'[' * 100_000)
-    assert is_resolved_or_refused(json.dumps({'version': 10**40}).encode())
+def test_deep_nesting_and_large_version_raise_settings_error() -> None:
+    assert resolves_or_raises_settings_error(b'[' * 100_000)
+    assert resolves_or_raises_settings_error(
+        json.dumps({'version': 10**40}).encode()
+    )
--- a/packages/sycamore-core/src/sycamore_core/settings/tests/test_checks.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Tests of what settings are refused for, and in which words."""
+"""Tests of the validation of settings and its error messages."""
 
 from pathlib import Path
 from typing import Any
@@ -21,7 +21,7 @@
 }"""
 
 
-def reason_of(body: bytes, source: str = 'tree.jsonc') -> str:
+def error_message(body: bytes, source: str = 'tree.jsonc') -> str:
     try:
         resolve_tree(body, source)
     except SettingsError as error:
@@ -29,12 +29,12 @@
     return ''
 
 
-def problems_of(content: Any) -> list[str]:
-    return reason_of(encoded(content)).splitlines()
+def problem_lines(content: Any) -> list[str]:
+    return error_message(encoded(content)).splitlines()
 
 
 def only_problem(content: Any) -> str:
-    problems = problems_of(content)
+    problems = problem_lines(content)
     assert len(problems) == 1
     return problems[0]
 
@@ -42,10 +42,10 @@
 def with_value(path: str, value: Any) -> dict[str, Any]:
     content = small_tree()
     *parents, last = path.split('/')
-    place: Any = content
+    node: Any = content
     for key in parents:
-        place = place[key]
-    place[last] = value
+        node = node[key]
+    node[last] = value
     return content
 
 
@@ -55,7 +55,7 @@
     return load_process_settings(str(path), EntryProcessSettings)
 
 
-def reason_of_entry(folder: Path, text: str) -> str:
+def entry_error_message(folder: Path, text: str) -> str:
     try:
         load_entry(folder, text)
     except SettingsError as error:
@@ -69,7 +69,7 @@
 
 def test_problems_of_a_process_file_name_the_file(tmp_path: Path) -> None:
     text = ENTRY_FILE.replace('8080', '80800').replace('listen', 'lisen')
-    lines = reason_of_entry(tmp_path, text).splitlines()
+    lines = entry_error_message(tmp_path, text).splitlines()
     assert len(lines) == 3
     assert all(line.startswith(str(tmp_path)) for line in lines)
     assert 'lisen: unknown key; accepted: listen (nearest name)' in lines[0]
@@ -80,10 +80,10 @@
         load_process_settings('/nowhere/entry.jsonc', EntryProcessSettings)
 
 
-def test_all_problems_are_named_at_once() -> None:
-    """An operator publishes a tree with several mistakes.
+def test_all_problems_are_reported_at_once() -> None:
+    """Guards against reporting only the first problem of a tree.
 
-    With one error a run, each mistake would cost another publication.
+    Each further mistake would then cost the operator another publication.
     """
     content = small_tree()
     content['wrokspaces'] = {}
@@ -91,7 +91,7 @@
     content['workspaces']['school']['weight'] = 0
     content['workspaces']['school']['services']['caht'] = {}
     content['endpoints']['chat-1']['zone'] = 'c'
-    assert problems_of(content) == [
+    assert problem_lines(content) == [
         'tree.jsonc: wrokspaces: unknown key; '
         'accepted: workspaces (nearest name)',
         "tree.jsonc: services.chat.max_prompt_tokens: found 'many'; "
@@ -126,7 +126,7 @@
         ('operator_key_hashes', 'abc', 'a list of: the SHA-256'),
     ],
 )
-def test_problem_says_what_is_accepted(
+def test_problem_describes_accepted_value(
     path: str,
     value: Any,
     expected: str,
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize('number', ['NaN', 'Infinity', '-Infinity'])
-def test_numbers_that_are_none_are_refused(number: str) -> None:
+def test_non_finite_numbers_are_refused(number: str) -> None:
     body = f'{{version: 1, name: "t", workspaces: {{w: {{weight: {number}}}}}}}'
     with pytest.raises(SettingsError, match='a number above 0'):
         resolve_tree(body.encode())
@@ -163,11 +163,11 @@
                     {'band': 'short', 'first_token_seconds': 2},
                 ],
             },
-            'services.chat.targets: short stands twice',
+            'services.chat.targets: short is listed more than once',
         ),
     ],
 )
-def test_targets_fit_the_time_limits(
+def test_inconsistent_targets_and_time_limits_are_reported(
     node: dict[str, Any],
     expected: str,
 ) -> None:
@@ -175,11 +175,11 @@
     assert expected in problem
 
 
-def test_time_limits_of_different_levels_fit() -> None:
-    """A workspace's time limit exceeds the longest one of the deployment.
+def test_time_limits_are_checked_across_levels() -> None:
+    """Guards against a workspace default above the deployment's longest limit.
 
-    Each request without a time limit of its own would be refused, although
-    each level by itself looks right.
+    Each level is valid alone, but every request without its own time limit
+    would be refused.
     """
     content = small_tree()
     content['defaults'] = {'longest_time_limit_seconds': 60}
@@ -191,53 +191,55 @@
     assert '90.0 is in force; accepted: at most 60.0' in problem
 
 
-def test_bad_entries_of_a_list_do_not_hide_what_else_is_wrong() -> None:
-    """A target lacks two values, and a zone elsewhere does not exist.
+def test_invalid_list_items_do_not_hide_other_problems() -> None:
+    """Guards against an internal error of the check on invalid list items.
 
-    The check ended with an error of its own, which named neither.
+    With a target that lacked two values, the check raised an error that named
+    neither the target nor the unknown zone elsewhere.
     """
     good = {'band': 'short', 'first_token_seconds': 1}
     content = with_value('services/chat/targets', [{}, good, good])
     content['endpoints']['chat-1']['zone'] = 'c'
-    problems = problems_of(content)
+    problems = problem_lines(content)
     assert len(problems) == 4
     assert 'services.chat.targets.0.band: missing' in problems[0]
     assert "zone: found 'c'" in problems[2]
-    assert 'short stands twice' in problems[3]
+    assert 'short is listed more than once' in problems[3]
 
 
-def test_endpoints_have_addresses_of_their_own() -> None:
+def test_endpoints_with_the_same_address_are_reported() -> None:
     content = small_tree()
     content['endpoints']['chat-2'] = content['endpoints']['chat-1']
     problem = only_problem(content)
-    assert 'tcp://10.0.0.1:7000 stands at chat-1, chat-2' in problem
+    assert 'tcp://10.0.0.1:7000 is used by chat-1, chat-2' in problem
 
 
-def test_key_in_place_of_its_hash_is_not_shown(tmp_path: Path) -> None:
-    """An operator puts an API key where its hash belongs.
+def test_key_given_in_place_of_its_hash_is_not_shown(tmp_path: Path) -> None:
+    """Guards against an API key in the logs.
 
-    The error goes to the log of every process, where the key must not stand.
+    An operator may give a key in place of its hash. The error message goes to
+    the log of every process.
     """
     secret = 'sk-live-1234'
     content = with_value('workspaces/school/api_key_hashes', [secret])
-    assert secret not in '\n'.join(problems_of(content))
+    assert secret not in '\n'.join(problem_lines(content))
     text = ENTRY_FILE.replace('env:SYCAMORE_PEER_KEY', f'{secret}:')
-    reason = reason_of_entry(tmp_path, text)
-    assert 'or env:NAME' in reason
-    assert secret not in reason
+    message = entry_error_message(tmp_path, text)
+    assert 'or env:NAME' in message
+    assert secret not in message
 
 
-def test_syntax_error_names_its_line() -> None:
-    reason = reason_of(b'{\n  version: 1\n  name: "x"}')
-    assert 'tree.jsonc: not JSON with comments' in reason
-    assert 'line 3' in reason
+def test_syntax_error_reports_its_line() -> None:
+    message = error_message(b'{\n  version: 1\n  name: "x"}')
+    assert 'tree.jsonc: not JSON with comments' in message
+    assert 'line 3' in message
 
 
-def test_whole_fleet_of_the_target_fits_one_value() -> None:
-    """The settings of 2,400 workspaces and 770 endpoints are published.
+def test_tree_of_target_fleet_fits_one_stored_value() -> None:
+    """Guards against trees too large to publish.
 
-    The platform's service holds values up to a megabyte; a larger tree could
-    not be published at all.
+    The platform's settings service stores values of up to 1 MiB. The tree of
+    2,400 workspaces and 770 endpoints must take less than half of that.
     """
     body = encoded(large_tree(workspaces=2400, endpoints=770))
     assert len(body) < 1_048_576 // 2
--- a/packages/sycamore-core/src/sycamore_core/settings/tests/test_examples.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Tests of the examples that stand at the root of the repository."""
+"""Tests of the example settings at the root of the repository."""
 
 import pathlib
 
@@ -18,13 +18,13 @@
 FILES = tuple(EXAMPLES.glob('*/processes/*.jsonc'))
 
 
-def tree_of(deployment: str) -> bytes:
+def read_example_tree(deployment: str) -> bytes:
     return (EXAMPLES / deployment / 'tree.jsonc').read_bytes()
 
 
 @pytest.mark.parametrize('deployment', DEPLOYMENTS)
 def test_tree_has_the_sizes_of_the_deployment(deployment: str) -> None:
-    tree = read_tree(tree_of(deployment), deployment)
+    tree = read_tree(read_example_tree(deployment), deployment)
     kinds = [
         tree.services[endpoint.service].kind
         for endpoint in tree.endpoints.values()
@@ -36,8 +36,9 @@
 
 
 @pytest.mark.parametrize('deployment', DEPLOYMENTS)
-def test_calls_that_move_money_are_not_repeated(deployment: str) -> None:
-    fleet = resolve_tree(tree_of(deployment), deployment)
+def test_only_model_services_are_idempotent(deployment: str) -> None:
+    """Calls of plain services move money, so they must not be repeated."""
+    fleet = resolve_tree(read_example_tree(deployment), deployment)
     for workspace in fleet.workspaces.values():
         for service in workspace.services.values():
             is_model = service.kind is EndpointKind.MODEL
@@ -45,8 +46,8 @@
 
 
 @pytest.mark.parametrize('path', FILES, ids=lambda path: path.stem)
-def test_process_file_fits_its_tree(path: pathlib.Path) -> None:
-    tree = read_tree(tree_of(path.parts[-3]))
+def test_process_file_matches_its_tree(path: pathlib.Path) -> None:
+    tree = read_tree(read_example_tree(path.parts[-3]))
     zones = {zone for zones in tree.regions.values() for zone in zones}
     if path.stem.startswith('entry'):
         entry = load_process_settings(str(path), EntryProcessSettings)
@@ -59,7 +60,7 @@
     assert endpoint.listen == published.address
 
 
-def test_smallest_example_can_be_used() -> None:
+def test_local_example_is_valid() -> None:
     folder = EXAMPLES / 'local'
     tree = read_tree((folder / 'tree.jsonc').read_bytes())
     entry_path, endpoint_path = folder / 'entry.jsonc', folder / 'chat-1.jsonc'
@@ -71,5 +72,5 @@
     assert tree.endpoints[endpoint.name].address == endpoint.listen
 
 
-def test_examples_are_found() -> None:
+def test_all_example_process_files_are_found() -> None:
     assert len(FILES) == 18
--- a/packages/sycamore-core/src/sycamore_core/settings/tests/test_provenance.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/tests/test_provenance.py
@@ -1,4 +1,4 @@
-"""Tests of where each value in force comes from."""
+"""Tests of the provenance of effective values."""
 
 import pytest
 
@@ -32,7 +32,7 @@
     assert levels['longest_time_limit_seconds'] == (3600, 'built in')
 
 
-def test_unknown_names_are_answered_with_the_nearest() -> None:
+def test_error_for_unknown_name_suggests_nearest_name() -> None:
     tree = read_tree(encoded(small_tree()))
     assert list(pairs(tree)) == [(SCHOOL, CHAT)]
     with pytest.raises(SettingsError, match=r'school \(nearest name\)'):
--- a/packages/sycamore-core/src/sycamore_core/settings/tests/test_reference.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/tests/test_reference.py
@@ -1,11 +1,11 @@
-"""Tests of the settings reference."""
+"""Tests of the settings reference page."""
 
 import pathlib
 
 import msgspec
 import pytest
 
-from ..reference import KINDS, attribute_texts, reference_page
+from ..reference import KINDS, attribute_descriptions, reference_page
 
 PAGE = pathlib.Path(__file__).parents[6] / 'docs' / 'settings-reference.md'
 
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize('kind', KINDS)
 def test_every_setting_is_described(kind: type[msgspec.Struct]) -> None:
-    texts = attribute_texts(kind)
+    descriptions = attribute_descriptions(kind)
     names = kind.__struct_fields__
-    assert set(texts) == set(names)
-    assert all(texts.values())
+    assert set(descriptions) == set(names)
+    assert all(descriptions.values())
--- a/packages/sycamore-core/src/sycamore_core/settings/tests/test_tree.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/tests/test_tree.py
@@ -1,4 +1,4 @@
-"""Tests of the inheritance in the published tree."""
+"""Tests of inheritance in the published tree."""
 
 import pytest
 
@@ -22,7 +22,7 @@
     ('workspace', 'expected'),
     [('one', 20), ('two', 30), ('three', 40)],
 )
-def test_nearest_value_wins(workspace: str, expected: int) -> None:
+def test_nearest_level_takes_precedence(workspace: str, expected: int) -> None:
     fleet = resolve_tree(TREE)
     chat = fleet.workspaces[workspace].services['chat']
     assert chat.max_output_tokens == expected
--- a/packages/sycamore-core/src/sycamore_core/settings/tree.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/tree.py
@@ -1,8 +1,9 @@
-"""The published settings tree: what each of its levels may hold.
+"""Types of the published settings tree.
 
-A value for a service of a workspace comes from the nearest of: the service in
-the workspace, the defaults of the workspace, the service of the deployment,
-the defaults of the deployment, and the default of the type.
+A value for a service of a workspace comes from the first of these levels that
+sets it: the service in the workspace, the defaults of the workspace, the
+service of the deployment, the defaults of the deployment, the default of the
+type.
 """
 
 import msgspec
--- a/packages/sycamore-core/src/sycamore_core/settings/values.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/values.py
@@ -1,7 +1,7 @@
-"""Kinds of values in settings, with what is accepted for each.
+"""Types of the values in settings, with their constraints.
 
-The constraints hold wherever settings are read; `description` is what an
-error says would be accepted.
+The constraints are checked wherever settings are read. An error message quotes
+`description` as the accepted value.
 """
 
 from typing import Annotated
@@ -18,31 +18,32 @@
     ZoneId,
 )
 
-#: Mark of values that are never shown, in case an operator has put a key
-#: where its hash belongs.
-SECRET = 'secret'
-#: A year; longer times are mistakes of unit.
-_LONGEST_SECONDS = 31_536_000
-#: Far above any memory or context; larger figures are mistakes of unit.
-_MOST_TOKENS = 1_000_000_000
-_LARGEST_BODY = 33_554_432
-_LARGEST_WEIGHT = 1_000_000
-_LARGEST_PENALTY = 1_000_000_000
-_LONGEST_NAME = 64
-_LONGEST_MODEL_NAME = 256
-#: Largest whole number that every JSON reader keeps exactly.
-_HIGHEST_VERSION = 9_007_199_254_740_991
-_LARGEST_PORT = 65_535
+#: Marks a type whose values are never shown: an operator may have put a key in
+#: place of its hash or location.
+SECRET_MARK = 'secret'
+#: One year; a longer time means that the unit was mistaken.
+_MAX_SECONDS = 31_536_000
+#: Far above any engine memory or context length; a larger value means that the
+#: unit was mistaken.
+_MAX_TOKENS = 1_000_000_000
+_MAX_BODY_BYTES = 33_554_432
+_MAX_WEIGHT = 1_000_000
+_MAX_PENALTY = 1_000_000_000
+_MAX_NAME_LENGTH = 64
+_MAX_MODEL_NAME_LENGTH = 256
+#: 2**53 - 1, the largest integer that every JSON reader represents exactly.
+_MAX_VERSION = 9_007_199_254_740_991
+_MAX_PORT = 65_535
 
-#: What a name may be, in words.
-NAME_TEXT = (
+#: Description of a valid name, for error messages and the reference page.
+NAME_DESCRIPTION = (
     'a name of letters, digits, ".", "_" and "-", at most 64 long, that '
     'starts with a letter or digit'
 )
 _NAME_META = Meta(
     pattern='^[A-Za-z0-9][A-Za-z0-9._-]*$',
-    max_length=_LONGEST_NAME,
-    description=NAME_TEXT,
+    max_length=_MAX_NAME_LENGTH,
+    description=NAME_DESCRIPTION,
 )
 _PORT = '([1-9][0-9]{0,4})'
 _IP = r'([0-9]{1,3}(\.[0-9]{1,3}){3}|\[[0-9a-fA-F:]+\])'
@@ -55,26 +56,26 @@
 KeyName = Annotated[KeyId, _NAME_META]
 ProcessName = Annotated[str, _NAME_META]
 ModelName = Annotated[
-    ModelId, Meta(max_length=_LONGEST_MODEL_NAME, description='a model name')
+    ModelId, Meta(max_length=_MAX_MODEL_NAME_LENGTH, description='a model name')
 ]
 
 Seconds = Annotated[
     float,
-    Meta(gt=0, le=_LONGEST_SECONDS, description='seconds, above 0'),
+    Meta(gt=0, le=_MAX_SECONDS, description='seconds, above 0'),
 ]
 SecondsOrNone = Annotated[
     float,
-    Meta(ge=0, le=_LONGEST_SECONDS, description='seconds, or 0 for none'),
+    Meta(ge=0, le=_MAX_SECONDS, description='seconds, or 0 for none'),
 ]
 Tokens = Annotated[
     int,
-    Meta(ge=1, le=_MOST_TOKENS, description='a whole number of tokens above 0'),
+    Meta(ge=1, le=_MAX_TOKENS, description='a whole number of tokens above 0'),
 ]
 TokensOrNone = Annotated[
     int,
     Meta(
         ge=0,
-        le=_MOST_TOKENS,
+        le=_MAX_TOKENS,
         description='a whole number of tokens, or 0 for none',
     ),
 ]
@@ -82,7 +83,7 @@
     int,
     Meta(
         ge=1,
-        le=_LARGEST_BODY,
+        le=_MAX_BODY_BYTES,
         description='a whole number of bytes, at most 33554432',
     ),
 ]
@@ -90,7 +91,7 @@
     float,
     Meta(
         gt=0,
-        le=_LARGEST_WEIGHT,
+        le=_MAX_WEIGHT,
         description='a number above 0, at most 1000000',
     ),
 ]
@@ -104,26 +105,26 @@
 ]
 Penalty = Annotated[
     float,
-    Meta(ge=0, le=_LARGEST_PENALTY, description='an amount, 0 or more'),
+    Meta(ge=0, le=_MAX_PENALTY, description='an amount, 0 or more'),
 ]
 Version = Annotated[
     int,
-    Meta(ge=1, le=_HIGHEST_VERSION, description='a whole number from 1 on'),
+    Meta(ge=1, le=_MAX_VERSION, description='a whole number from 1 on'),
 ]
 KeyHash = Annotated[
     str,
     Meta(
         pattern='^[0-9a-f]{64}$',
         description='the SHA-256 of a key, as 64 hexadecimal digits 0-9a-f',
-        extra={SECRET: True},
+        extra={SECRET_MARK: True},
     ),
 ]
-SecretPlace = Annotated[
+SecretLocation = Annotated[
     str,
     Meta(
         pattern=r'^(env:[A-Za-z_][A-Za-z0-9_]*|\.{0,2}/.+|[^:]+)$',
         description='the path of a file, or env:NAME for a variable',
-        extra={SECRET: True},
+        extra={SECRET_MARK: True},
     ),
 ]
 PeerAddress = Annotated[
@@ -156,9 +157,9 @@
 ]
 Port = Annotated[
     int,
-    Meta(ge=1, le=_LARGEST_PORT, description='a port from 1 to 65535'),
+    Meta(ge=1, le=_MAX_PORT, description='a port from 1 to 65535'),
 ]
 PortOrNone = Annotated[
     int,
-    Meta(ge=0, le=_LARGEST_PORT, description='a port, or 0 for none'),
+    Meta(ge=0, le=_MAX_PORT, description='a port, or 0 for none'),
 ]
