--- a/packages/sycamore-core/src/sycamore_core/decisions/admission.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/admission.py
@@ -117,14 +117,14 @@
         return AdmissionDecision(
             RefusalReason.DEADLINE_PASSED,
             0,
-            'the time limit has passed',
+            'time limit is past',
         )
     remaining = request.deadline - now
     if estimate.first_token_seconds > remaining:
         return AdmissionDecision(
             RefusalReason.DEADLINE_UNREACHABLE,
             0,
-            f'{remaining:.2f} s left, but the prefill alone takes '
+            f'{remaining:.2f} s left, the prompt alone takes '
             f'{estimate.first_token_seconds:.2f} s',
         )
     if not estimate.ahead:
@@ -185,18 +185,16 @@
     fraction_above = 1 - estimate.rank
     tightness = estimate.tightness
     return (
-        f'{tightness:.2f} of the time to the targets of this workspace is '
-        f'used by queued work (share {estimate.share:.3f}), and '
-        f'{fraction_above:.2f} of its recent requests have a higher penalty '
-        'density'
+        f'{tightness:.2f} of the time to the promises of this workspace is '
+        f'spoken for (share {estimate.share:.3f}), and {fraction_above:.2f} of '
+        'what it sent lately owes more for its cost'
     )
 
 
 def _wait_message(estimate: WaitEstimate, allowed: float) -> str:
     rate = math.floor(estimate.rate * 1000) / 1000
     return (
-        f'{estimate.ahead:.2f} engine seconds of this workspace are queued '
-        f'ahead, served at {rate} per second (share {estimate.share:.3f}): '
-        f'first token in {estimate.until_first_token:.2f} s, '
-        f'{allowed:.2f} s allowed'
+        f'{estimate.ahead:.2f} engine seconds of this workspace wait before it '
+        f'at {rate} a second (share {estimate.share:.3f}): first token in '
+        f'{estimate.until_first_token:.2f} s, {allowed:.2f} s allowed'
     )
--- a/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
@@ -171,7 +171,7 @@
             request.request_id,
             RefusalReason.PROMPT_TOO_LONG,
             TOO_LONG_RETRY_SECONDS,
-            'the live engines together have too little memory for the prompt',
+            'the engines that take work could not hold it together',
         )
 
     def _check_refusal(
@@ -282,8 +282,8 @@
     waited = now - request.arrival
     target = request.target_seconds
     return (
-        f'waited {waited:.2f} s, the prefill takes {prefill:.2f} s, '
-        f'the target is {target:.2f} s'
+        f'waited {waited:.2f} s, its prompt takes {prefill:.2f} s, '
+        f'its target is {target:.2f} s'
     )
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/fair.py
@@ -127,7 +127,7 @@
                 request.request_id,
                 RefusalReason.NO_ENDPOINT,
                 NO_ENDPOINT_SECONDS,
-                f'no endpoint of {request.service} accepts requests',
+                f'no endpoint of {request.service} takes work',
             )
         refusal = pinned_refusal(request, queue.pool)
         if refusal is not None:
@@ -279,7 +279,7 @@
         request.request_id,
         RefusalReason.DEADLINE_PASSED,
         0,
-        f'waited {waited:.2f} s, until its time limit',
+        f'waited {waited:.2f} s, its whole time limit',
     )
 
 
@@ -288,5 +288,5 @@
         request_id,
         RefusalReason.UNKNOWN_REQUEST,
         0,
-        'this entry has not sent the request or has already ended it',
+        'this entry has not sent it or has given it up',
     )
--- a/packages/sycamore-core/src/sycamore_core/decisions/pinned.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/pinned.py
@@ -32,7 +32,7 @@
             request.request_id,
             RefusalReason.NO_ENDPOINT,
             _RETRY_AFTER_SECONDS,
-            f'only {endpoint} may run the request, but it accepts no work',
+            f'only {endpoint} may run it, and takes no work',
         )
     capacity = candidate.view.capacity_tokens
     if 0 < capacity < request.lease_tokens:
@@ -40,8 +40,7 @@
             request.request_id,
             RefusalReason.PROMPT_TOO_LONG,
             0,
-            f'only {endpoint} may run the request; its capacity is '
-            f'{capacity} tokens',
+            f'only {endpoint} may run it, and holds {capacity} tokens',
         )
     return None
 
--- a/packages/sycamore-entry/src/sycamore_entry/answers/assembler.py
+++ b/packages/sycamore-entry/src/sycamore_entry/answers/assembler.py
@@ -88,12 +88,10 @@
     def _check(self, sequence: Sequence, close: Close) -> None:
         if close.frames != sequence:
             raise IncompleteAnswerError(
-                f'{close.frames} frames announced, {sequence} received'
+                f'{close.frames} frames, {sequence} came'
             )
         # The checksum covers the whole answer. A caller that resumes an
         # answer checks it over both parts itself.
         comparable = self._from_start and close.outcome == Outcome.COMPLETE
         if comparable and close.checksum != self._checksum:
-            raise IncompleteAnswerError(
-                'the checksum does not match the frames'
-            )
+            raise IncompleteAnswerError('the checksum does not fit the frames')
--- a/packages/sycamore-entry/src/sycamore_entry/checked_call.py
+++ b/packages/sycamore-entry/src/sycamore_entry/checked_call.py
@@ -66,7 +66,7 @@
     if service.kind != EndpointKind.MODEL:
         raise RefusedError(
             RefusalReason.BAD_REQUEST,
-            'this is a plain service; use the path "call"',
+            'this is a plain service; use its path "call"',
         )
     if prompt.tokens > service.max_prompt_tokens:
         raise RefusedError(
@@ -92,7 +92,7 @@
     if checked_call.service.kind != EndpointKind.PLAIN:
         raise RefusedError(
             RefusalReason.BAD_REQUEST,
-            'this is a model; use the path "requests"',
+            'this is a model; use its path "requests"',
         )
     return _make_request(checked_call, request_id, Prompt(body, 0, 0, ()), call)
 
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/attach.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/attach.py
@@ -78,9 +78,7 @@
         report = await self._find_run(fleet, mailbox)
         link = self.context.links.open(report.endpoint)
         if link is None:
-            raise _outcome_unknown(
-                'the endpoint that has the answer is no longer available'
-            )
+            raise _outcome_unknown('the endpoint that has the answer is gone')
         mailbox.endpoint = link.endpoint
         await sink.start(self.request_id)
         stream = AnswerStream(
@@ -108,7 +106,7 @@
                 return report
         raise RefusedError(
             RefusalReason.UNKNOWN_REQUEST,
-            'no endpoint that replied knows this request',
+            'no endpoint that answers knows this request',
             execution=Execution.UNKNOWN,
             retry_after=_RETRY_AFTER_SECONDS,
         )
--- a/packages/sycamore-entry/src/sycamore_entry/exchanges/exchange.py
+++ b/packages/sycamore-entry/src/sycamore_entry/exchanges/exchange.py
@@ -150,7 +150,7 @@
             self.progress.record_barred()
         else:
             self.progress.record_lost(
-                'the endpoint did not report whether the request ran'
+                'the endpoint does not say whether it ran'
             )
 
     async def _receive(self, link: EndpointLink, mailbox: Mailbox) -> bool:
--- a/packages/sycamore-entry/src/sycamore_entry/reservations.py
+++ b/packages/sycamore-entry/src/sycamore_entry/reservations.py
@@ -54,7 +54,7 @@
                 return reserved
         raise RefusedError(
             RefusalReason.NO_ENDPOINT,
-            'no endpoint of the service replied',
+            'no endpoint of the service answers',
             retry_after=_RETRY_AFTER_SECONDS,
         )
 
--- a/packages/sycamore-entry/src/sycamore_entry/web/auth.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/auth.py
@@ -77,5 +77,5 @@
     if not authorization.startswith(_SCHEME) or not is_known:
         raise RefusedError(
             RefusalReason.UNAUTHENTICATED,
-            'the API key is missing or not valid for this resource',
+            'the API key is missing or not valid here',
         )
--- a/packages/sycamore-entry/src/sycamore_entry/web/handlers/answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/handlers/answers.py
@@ -48,7 +48,7 @@
         if self.claims.kind != IdKind.BOUND:
             raise RefusedError(
                 RefusalReason.BAD_REQUEST,
-                'this id does not come from a reservation',
+                'this id was not made by a reservation',
             )
         request = self._bound_request(RequestId(request_id))
         await self._check_incarnation()
@@ -96,7 +96,7 @@
         except AuthenticationError as error:
             raise RefusedError(
                 RefusalReason.FORGED_REQUEST_ID,
-                'the request id was not issued by this system',
+                'the request id was not made by this system',
             ) from error
 
     def _bound_request(self, request_id: RequestId) -> CallerRequest:
@@ -128,7 +128,7 @@
             return
         raise RefusedError(
             RefusalReason.OUTCOME_UNKNOWN,
-            'the endpoint process that issued this id no longer exists',
+            'the endpoint process that made this id is gone',
             execution=Execution.UNKNOWN,
         )
 
--- a/packages/sycamore-entry/src/sycamore_entry/web/limits.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/limits.py
@@ -59,7 +59,7 @@
             return service.default_time_limit_seconds
         raise RefusedError(
             RefusalReason.TIME_LIMIT_MISSING,
-            'the header Time-Limit with a time limit in seconds is missing',
+            'name a time limit in seconds in the header Time-Limit',
         )
     try:
         seconds = float(text)
--- a/packages/sycamore-entry/src/sycamore_entry/web/shared.py
+++ b/packages/sycamore-entry/src/sycamore_entry/web/shared.py
@@ -63,6 +63,6 @@
         if self.draining.is_set():
             raise RefusedError(
                 RefusalReason.SHUTTING_DOWN,
-                'this entry is shutting down; use another entry',
+                'this entry is shutting down; another one serves',
                 retry_after=_RETRY_AFTER_SECONDS,
             )
