--- a/packages/sycamore-endpoint/src/sycamore_endpoint/admission.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/admission.py
@@ -136,7 +136,7 @@
     def _unavailable_reason(self, offer: Offer) -> RefusalReason | None:
         if self.state.phase is EndpointPhase.DRAINING:
             return RefusalReason.DRAINING
-        own_settings = self.state.own
+        own_settings = self.state.own_settings
         if own_settings is None:
             return RefusalReason.SETTINGS_NOT_READY
         if self.state.phase is not EndpointPhase.LIVE:
@@ -148,7 +148,7 @@
     def _required_tokens(self, offer: Offer) -> int:
         if offer.plain_call is not None:
             return 0
-        own_settings = self.state.own
+        own_settings = self.state.own_settings
         if offer.members and own_settings is not None:
             spans = divide(offer, own_settings.fleet, own_settings.endpoint)
             return spans[-1].tokens if spans else 0
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/__init__.py
@@ -1,7 +1,7 @@
 """Clients of the back end of an endpoint process."""
 
-from .base import Backend, Piece, StartGate
+from .base import Backend, AnswerChunk, StartGate
 from .engine import EngineBackend
 from .plain import PlainBackend
 
-__all__ = ('Backend', 'EngineBackend', 'Piece', 'PlainBackend', 'StartGate')
+__all__ = ('AnswerChunk', 'Backend', 'EngineBackend', 'PlainBackend', 'StartGate')
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/base.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/base.py
@@ -12,7 +12,7 @@
 StartGate = Callable[[], bool]
 
 
-class Piece(msgspec.Struct, frozen=True):
+class AnswerChunk(msgspec.Struct, frozen=True):
     """A part of an answer, as received from the back end."""
 
     payload: bytes = b''
@@ -24,12 +24,12 @@
     """Runs requests and streams their answers."""
 
     @abc.abstractmethod
-    def pieces(
+    def stream_answer(
         self,
         offer: Offer,
         gate: StartGate,
         seconds: float,
-    ) -> AsyncIterator[Piece]:
+    ) -> AsyncIterator[AnswerChunk]:
         """Run a request and yield its answer until it is complete.
 
         Parameters
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/calls.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/calls.py
@@ -79,7 +79,7 @@
             return await self.client.fetch(request)
         except HTTPError as error:
             if error.response is not None and error.code < _STATUS_NO_RESPONSE:
-                raise RefusedError(error.code, str(error)) from error
+                raise BackendStatusError(error.code, str(error)) from error
             raise BackendUnreachableError(str(error)) from error
         except OSError as error:
             raise BackendUnreachableError(str(error)) from error
@@ -89,7 +89,7 @@
 _STATUS_NO_RESPONSE = 599
 
 
-class RefusedError(BackendError):
+class BackendStatusError(BackendError):
     """The back end answered with an error status."""
 
     def __init__(self, status: int, message: str) -> None:
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/engine.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/engine.py
@@ -18,7 +18,7 @@
     StreamInterruptedError,
     UnknownRunError,
 )
-from .base import Backend, Piece, StartGate
+from .base import Backend, AnswerChunk, StartGate
 from .calls import ControlClient
 from .lines import read_lines
 from .stream import CONNECT_SECONDS, TIMEOUT_MARGIN_SECONDS, StreamCall
@@ -82,14 +82,14 @@
         self.streams = streams
         self.control = control
 
-    async def pieces(
+    async def stream_answer(
         self,
         offer: Offer,
         gate: StartGate,
         seconds: float,
         imports: str = '',
-    ) -> AsyncIterator[Piece]:
-        """Generate; see `Backend.pieces`."""
+    ) -> AsyncIterator[AnswerChunk]:
+        """Generate; see `Backend.stream_answer`."""
         body = GenerateBody(
             request_id=offer.request_id,
             prompt_tokens=offer.prompt_tokens,
@@ -154,13 +154,13 @@
         self,
         call: StreamCall,
         position: 'StreamPosition',
-    ) -> AsyncIterator[Piece]:
+    ) -> AsyncIterator[AnswerChunk]:
         try:
             async for text in read_lines(call):
                 _check_status(call)
                 line = _parse_line(text)
                 if position.accept_line(line):
-                    yield Piece(line.text.encode(), line.tokens)
+                    yield AnswerChunk(line.text.encode(), line.tokens)
             _check_status(call)
         except NotStartedError as error:
             if not position.may_have_started:
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/plain.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/plain.py
@@ -7,7 +7,7 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPRequest
 
-from .base import Backend, Piece, StartGate
+from .base import Backend, AnswerChunk, StartGate
 from .stream import CONNECT_SECONDS, TIMEOUT_MARGIN_SECONDS, StreamCall
 
 _BODYLESS_METHODS = frozenset(('GET', 'HEAD', 'DELETE', 'OPTIONS'))
@@ -20,13 +20,13 @@
         self.base_url = base_url.rstrip('/')
         self.streams = streams
 
-    async def pieces(
+    async def stream_answer(
         self,
         offer: Offer,
         gate: StartGate,
         seconds: float,
-    ) -> AsyncIterator[Piece]:
-        """Make the call; see `Backend.pieces`."""
+    ) -> AsyncIterator[AnswerChunk]:
+        """Make the call; see `Backend.stream_answer`."""
         call = StreamCall(self.streams, self._request(offer, seconds), gate)
         call.start()
         try:
@@ -60,9 +60,9 @@
         )
 
 
-async def _read_answer(call: StreamCall) -> AsyncIterator[Piece]:
+async def _read_answer(call: StreamCall) -> AsyncIterator[AnswerChunk]:
     chunk = await call.read()
     reply = PlainReply(call.status, call.content_type)
-    yield Piece(chunk, plain_reply=reply)
+    yield AnswerChunk(chunk, plain_reply=reply)
     while chunk := await call.read():
-        yield Piece(chunk)
+        yield AnswerChunk(chunk)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/engine_watch.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/engine_watch.py
@@ -80,7 +80,7 @@
         self.log = Log('endpoint.engine')
         self.last_event = 0
         self._failed_reads = 0
-        self.blocks: dict[int, None] = {}
+        self.cached_blocks: dict[int, None] = {}
 
     async def run(self) -> None:
         """Poll the engine until cancelled."""
@@ -142,24 +142,24 @@
         )
         for key in (*found.unknown, *still_held):
             self.log.warning('engine_holds', kind=key.kind, name=key.name)
-            await free_in_engine(self.control, key)
+            await release_in_engine(self.control, key)
 
     async def _read_events(self) -> None:
         path = f'/v1/events?after={self.last_event}'
         cache_events = await self.control.read(path, CacheEvents)
         if cache_events.last < self.last_event:
             # The engine was restarted and has lost its cache.
-            self.blocks.clear()
+            self.cached_blocks.clear()
         self.last_event = cache_events.last
         for event in cache_events.events:
-            self.blocks.pop(event.block, None)
+            self.cached_blocks.pop(event.block, None)
             if event.kind == _BLOCK_STORED:
-                self.blocks[event.block] = None
-        newest = list(self.blocks)[-MAX_REPORTED_BLOCKS:]
+                self.cached_blocks[event.block] = None
+        newest = list(self.cached_blocks)[-MAX_REPORTED_BLOCKS:]
         self.reporter.cached_blocks = tuple(reversed(newest))
 
 
-async def free_in_engine(control: ControlClient, key: LeaseKey) -> None:
+async def release_in_engine(control: ControlClient, key: LeaseKey) -> None:
     """Make the engine free the memory that it holds for `key`.
 
     Raises
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/backend.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/backend.py
@@ -8,7 +8,7 @@
 from sycamore_core.messages import Message, Offer
 from sycamore_core.transport import Node
 
-from ..backends import Backend, EngineBackend, Piece, StartGate
+from ..backends import Backend, EngineBackend, AnswerChunk, StartGate
 from ..errors import GroupUnavailableError
 from ..state import EndpointState
 from .leader import GroupRun, Groups
@@ -31,16 +31,16 @@
         self.node = node
         self._releases: set[asyncio.Task[None]] = set()
 
-    async def pieces(
+    async def stream_answer(
         self,
         offer: Offer,
         gate: StartGate,
         seconds: float,
-    ) -> AsyncIterator[Piece]:
-        """Run a request; see `Backend.pieces`."""
+    ) -> AsyncIterator[AnswerChunk]:
+        """Run a request; see `Backend.stream_answer`."""
         if not offer.members:
             async with aclosing(
-                self.engine.pieces(offer, gate, seconds),
+                self.engine.stream_answer(offer, gate, seconds),
             ) as alone:
                 async for piece in alone:
                     yield piece
@@ -58,7 +58,7 @@
         offer: Offer,
         gate: StartGate,
         seconds: float,
-    ) -> AsyncIterator[Piece]:
+    ) -> AsyncIterator[AnswerChunk]:
         group = self._begin(offer)
         keeping: asyncio.Task[None] | None = None
         try:
@@ -77,16 +77,16 @@
         gate: StartGate,
         seconds: float,
         handle: str,
-    ) -> AsyncIterator[Piece]:
+    ) -> AsyncIterator[AnswerChunk]:
         group.check()
-        generating = self.engine.pieces(group.offer, gate, seconds, handle)
+        generating = self.engine.stream_answer(group.offer, gate, seconds, handle)
         async with aclosing(generating) as pieces:
             async for piece in pieces:
                 group.check()
                 yield piece
 
     def _begin(self, offer: Offer) -> GroupRun:
-        own = self.state.own
+        own = self.state.own_settings
         if own is None:
             raise GroupUnavailableError('no settings')
         spans = divide(offer, own.fleet, own.endpoint)
@@ -107,7 +107,7 @@
         task.add_done_callback(self._releases.discard)
 
     def _post(self, endpoint: EndpointId, message: Message) -> None:
-        own = self.state.own
+        own = self.state.own_settings
         if own is not None and endpoint in own.fleet.endpoints:
             address = own.fleet.endpoints[endpoint].address
             self.node.peer(address).post(message)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/member.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/member.py
@@ -19,7 +19,7 @@
 from sycamore_core.transport import Peer
 
 from ..backends.calls import ControlClient
-from ..engine_watch import free_in_engine
+from ..engine_watch import release_in_engine
 from ..ledger import LeaseKey, LeaseKind, MemoryLedger
 from ..state import EndpointState
 
@@ -136,7 +136,7 @@
     async def _free(self, group: GroupId) -> None:
         key = LeaseKey(LeaseKind.SPAN, group)
         try:
-            await free_in_engine(self.control, key)
+            await release_in_engine(self.control, key)
         except BackendError as error:
             # The engine is asked again after each of its reports.
             self.log.warning('release_failed', group=group, error=str(error))
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/tests/test_groups.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/tests/test_groups.py
@@ -17,7 +17,7 @@
     make_offer,
     make_settings,
     make_tree,
-    serving,
+    serve_application,
     wait_until,
 )
 
@@ -42,11 +42,11 @@
 
 async def start(stack: AsyncExitStack, folder: Path) -> Pair:
     platform = FakePlatform({})
-    url = await stack.enter_async_context(serving(platform.application()))
+    url = await stack.enter_async_context(serve_application(platform.application()))
     engines = [FakeEngine(), FakeEngine()]
     settings = []
     for number, engine in enumerate(engines, start=1):
-        backend = await stack.enter_async_context(serving(engine.application()))
+        backend = await stack.enter_async_context(serve_application(engine.application()))
         settings.append(make_settings(folder, backend, url, f'e{number}'))
     tree = make_tree(settings[0].listen)
     node = dict(tree['endpoints']['e1'], address=settings[1].listen)
@@ -58,9 +58,9 @@
     stack.push_async_callback(entry.node.close)
     for process, task in zip(processes, tasks, strict=True):
         stack.push_async_callback(end, process, task)
-    await entry.wait_live(settings[0].listen)
+    await entry.wait_until_live(settings[0].listen)
     entry.received.clear()
-    incarnation = await entry.wait_live(settings[1].listen)
+    incarnation = await entry.wait_until_live(settings[1].listen)
     return Pair(engines, processes, entry, incarnation)
 
 
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/keys/keeper.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/keys/keeper.py
@@ -45,7 +45,7 @@
 
     def take_settings(self) -> None:
         """Note which endpoints share the keys of the service from now on."""
-        own, fleet = self.state.own, self.keeper.fleet
+        own, fleet = self.state.own_settings, self.keeper.fleet
         if own is None or fleet is None:
             return
         listed = fleet.endpoints_of(own.endpoint.service)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/orders/keeper.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/orders/keeper.py
@@ -7,7 +7,7 @@
 from sycamore_core.ids import FencingNumber
 from sycamore_core.telemetry import Log
 
-from ..backends.calls import ControlClient, RefusedError
+from ..backends.calls import ControlClient, BackendStatusError
 from ..fleet import OwnSettings
 from ..state import EndpointState
 from .plan import (
@@ -88,7 +88,7 @@
         BackendError
             If the engine or the weight store does not answer.
         """
-        own = self.state.own
+        own = self.state.own_settings
         if own is None or not own.service.model:
             return
         self._note_time(own)
@@ -155,7 +155,7 @@
                 OrderAnswer,
                 ORDER_SECONDS,
             )
-        except RefusedError as error:
+        except BackendStatusError as error:
             self.log.warning('order_refused', status=error.status)
         # The order may have taken long; that was no pause of this process.
         self.looked_at = self.state.clock.monotonic()
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
@@ -110,7 +110,7 @@
             If the settings do not list this endpoint.
         """
         self.state.apply_settings(fleet)
-        own_settings = self.state.own
+        own_settings = self.state.own_settings
         if own_settings is None:
             return
         self.keys.look()
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/reports.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/reports.py
@@ -55,7 +55,7 @@
 
     def report(self) -> LoadReport:
         """Return a report of the current load."""
-        own_settings = self.state.own
+        own_settings = self.state.own_settings
         claim = self.keeper.claim
         service = (
             ServiceId('')
@@ -88,7 +88,7 @@
         return len(self.runs.in_progress())
 
     def _long_tokens(self) -> int:
-        own_settings = self.state.own
+        own_settings = self.state.own_settings
         if own_settings is None:
             return 0
         long_band_tokens = own_settings.fleet.policy.bands.long
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
@@ -10,7 +10,7 @@
 from sycamore_core.transport import Node
 
 from .admission import Admission
-from .backends import Backend, Piece
+from .backends import Backend, AnswerChunk
 from .errors import (
     BackendBusyError,
     GroupUnavailableError,
@@ -109,7 +109,7 @@
         offer = record.offer
         if offer is None:
             return
-        chunks = self.backend.pieces(
+        chunks = self.backend.stream_answer(
             offer,
             lambda: self.admission.may_start(record),
             record.deadline - self.clock.monotonic(),
@@ -119,7 +119,7 @@
                 await self._forward(record, chunk)
         self.runs.end(record, Outcome.COMPLETE)
 
-    async def _forward(self, record: RunRecord, chunk: Piece) -> None:
+    async def _forward(self, record: RunRecord, chunk: AnswerChunk) -> None:
         answer = record.answer
         if answer is None:
             return
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/state.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/state.py
@@ -16,7 +16,7 @@
 
     Attributes
     ----------
-    own
+    own_settings
         Settings of this endpoint; None until the first ones are applied.
     ready
         Whether the engine answers. The free memory is unknown before the
@@ -33,7 +33,7 @@
     zone: ZoneId
     incarnation: Incarnation
     clock: Clock
-    own: OwnSettings | None = None
+    own_settings: OwnSettings | None = None
     ready: bool = False
     leaving: bool = False
     listed: bool = True
@@ -43,9 +43,9 @@
         """The phase, which says whether new work is accepted."""
         if self.leaving:
             return EndpointPhase.DRAINING
-        if self.own is None or not self.ready:
+        if self.own_settings is None or not self.ready:
             return EndpointPhase.STARTING
-        if self.own.endpoint.draining or not self.listed:
+        if self.own_settings.endpoint.draining or not self.listed:
             return EndpointPhase.DRAINING
         return EndpointPhase.LIVE
 
@@ -58,5 +58,5 @@
             If the settings do not list this endpoint.
         """
         self.listed = False
-        self.own = OwnSettings.from_fleet(fleet, self.name)
+        self.own_settings = OwnSettings.from_fleet(fleet, self.name)
         self.listed = True
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/tests/builders.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/tests/builders.py
@@ -304,7 +304,7 @@
 
 
 @asynccontextmanager
-async def serving(application: Application):
+async def serve_application(application: Application):
     port = free_port()
     server = HTTPServer(application)
     server.listen(port, '127.0.0.1')
@@ -349,7 +349,7 @@
                 self.message_received.clear()
                 await self.message_received.wait()
 
-    async def wait_live(self, address: str) -> Incarnation:
+    async def wait_until_live(self, address: str) -> Incarnation:
         """Send heartbeats until the endpoint reports that it is live."""
         live: list[LoadReport] = []
         async with asyncio.timeout(WAIT_SECONDS):
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/tests/running_endpoint.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/tests/running_endpoint.py
@@ -18,7 +18,7 @@
     make_offer,
     make_settings,
     make_tree,
-    serving,
+    serve_application,
     wait_until,
 )
 
@@ -73,8 +73,8 @@
     platform = FakePlatform({})
     application = backend or engine.application()
     async with (
-        serving(application) as backend_url,
-        serving(platform.application()) as platform_url,
+        serve_application(application) as backend_url,
+        serve_application(platform.application()) as platform_url,
     ):
         settings = make_settings(directory, backend_url, platform_url)
         tree = make_tree(settings.listen)
@@ -83,7 +83,7 @@
         process = EndpointProcess.from_settings(settings)
         task = asyncio.create_task(process.run())
         entry = EntryProbe()
-        incarnation = await entry.wait_live(settings.listen)
+        incarnation = await entry.wait_until_live(settings.listen)
         yield RunningEndpoint(
             engine, platform, process, task, entry, incarnation
         )
