--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/rate_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/rate_limits.py
@@ -24,7 +24,7 @@
 
 import msgspec
 
-from ...hashes import stable_part
+from ...hashes import stable_fraction
 from ...ids import EndpointId, EntryId, PeerId
 from ...routing import EndpointLifetime, LimitReport
 from .recent_sends import (
@@ -251,7 +251,7 @@
             MAX_JITTER_SECONDS, _JITTER_PER_ENTRY * (self.entry_count - 1)
         )
         period = int(now / _JITTER_PERIOD_SECONDS)
-        return max_jitter * stable_part(f'{self.entry} {endpoint} {period}')
+        return max_jitter * stable_fraction(f'{self.entry} {endpoint} {period}')
 
     def _update_limit(self, report: LimitReport, now: float) -> None:
         known = self.reported.get(report.endpoint)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_limits.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ....hashes import stable_part
+from ....hashes import stable_fraction
 from ....ids import EndpointId, EntryId, PeerId
 from ....routing import EndpointLifetime
 from ..rate_limits import RateLimits
@@ -151,7 +151,7 @@
     def fraction(self) -> float:
         """Return a number from 0 to 1."""
         self._drawn += 1
-        return stable_part(f'{self.seed} {self._drawn}')
+        return stable_fraction(f'{self.seed} {self._drawn}')
 
     def interarrival_seconds(self, per_second: float) -> float:
         """Return the time until the next independent arrival, in seconds."""
--- a/packages/sycamore-core/src/sycamore_core/hashes.py
+++ b/packages/sycamore-core/src/sycamore_core/hashes.py
@@ -19,6 +19,6 @@
     return int.from_bytes(stable_digest(text.encode()))
 
 
-def stable_part(text: str) -> float:
+def stable_fraction(text: str) -> float:
     """Return a hash scaled to [0, 1) that is the same in every process."""
     return stable_hash(text) / HASH_RANGE
--- a/packages/sycamore-core/src/sycamore_core/platform/keeper.py
+++ b/packages/sycamore-core/src/sycamore_core/platform/keeper.py
@@ -90,7 +90,7 @@
         self.log = Log('settings')
         self._pending_seeds = set(self.peers.addresses)
         self._changed = asyncio.Event()
-        metrics.watch(Gauge.SETTINGS_AGE, lambda: self.age)
+        metrics.export_gauge(Gauge.SETTINGS_AGE, lambda: self.age)
 
     @classmethod
     def from_settings(
--- a/packages/sycamore-core/src/sycamore_core/telemetry/metrics.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/metrics.py
@@ -114,7 +114,7 @@
         """Record the settings version in force."""
         self._settings_version.set(version)
 
-    def watch(self, gauge: Gauge, read: ValueReader) -> None:
+    def export_gauge(self, gauge: Gauge, read: ValueReader) -> None:
         """Export the result of `read` as a gauge.
 
         `read` is called each time the page is rendered. A second reader of
@@ -126,16 +126,16 @@
         if is_new:
             self._create_gauge(gauge)
 
-    def watch_transport(self, counts: TransportCounts) -> None:
+    def export_transport_counts(self, counts: TransportCounts) -> None:
         """Export the message counts of the transport."""
         for field in dataclasses.fields(counts):
             self.meter.create_observable_counter(
                 f'sycamore_transport_{field.name}',
-                [value_callback(_count_reader(counts, field.name))],
+                [value_callback(_field_reader(counts, field.name))],
                 description=f'Transport: {field.name} since the start',
             )
 
-    def watch_attainment(self, attainment: Attainment) -> None:
+    def export_attainment(self, attainment: Attainment) -> None:
         """Export requests and penalties by target, over all workspaces."""
         self.meter.create_observable_counter(
             'sycamore_target_requests',
@@ -152,7 +152,7 @@
         """Return the metrics in the Prometheus text format."""
         return self._client.generate_latest(self.registry)
 
-    def show(self, name: str, tally: Tally) -> None:
+    def export_tally(self, name: str, tally: Tally) -> None:
         """Export a tally, including what it has counted before this call."""
         readable_name = name.replace('_', ' ')
         self.meter.create_observable_counter(
@@ -164,7 +164,7 @@
     def new_tally(self, name: str, label: str) -> Tally:
         """Return a new tally with one label that is exported."""
         tally = Tally(label)
-        self.show(name, tally)
+        self.export_tally(name, tally)
         return tally
 
     def _create_gauge(self, gauge: Gauge) -> None:
@@ -175,6 +175,6 @@
         )
 
 
-def _count_reader(counts: TransportCounts, name: str) -> ValueReader:
+def _field_reader(counts: TransportCounts, name: str) -> ValueReader:
     read = operator.attrgetter(name)
     return lambda: read(counts)
--- a/packages/sycamore-core/src/sycamore_core/telemetry/tests/test_metrics.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/tests/test_metrics.py
@@ -54,8 +54,8 @@
 
 def test_gauges_are_read_when_the_page_is_rendered() -> None:
     metrics, counts = Metrics('test'), TransportCounts()
-    metrics.watch(Gauge.SETTINGS_AGE, lambda: counts.stale + 4)
-    metrics.watch_transport(counts)
+    metrics.export_gauge(Gauge.SETTINGS_AGE, lambda: counts.stale + 4)
+    metrics.export_transport_counts(counts)
     counts.stale = 2
     page = page_of(metrics)
     assert 'sycamore_settings_age_seconds 6.0' in page
@@ -69,8 +69,8 @@
     would get no metrics of the process.
     """
     metrics = Metrics('test')
-    metrics.watch(Gauge.SETTINGS_AGE, lambda: 1)
-    metrics.watch(Gauge.SETTINGS_AGE, lambda: 2)
+    metrics.export_gauge(Gauge.SETTINGS_AGE, lambda: 1)
+    metrics.export_gauge(Gauge.SETTINGS_AGE, lambda: 2)
     values = [
         line
         for line in page_of(metrics)
@@ -85,7 +85,7 @@
     Such a page would exhaust the memory of the process and of its reader.
     """
     metrics, attainment = Metrics('test'), Attainment()
-    metrics.watch_attainment(attainment)
+    metrics.export_attainment(attainment)
     for number in range(MAX_SERVICE_LABELS * 3):
         key = AttainmentKey(
             WorkspaceId(f'workspace-{number}'),
--- a/packages/sycamore-core/src/sycamore_core/telemetry/tests/test_pages.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/tests/test_pages.py
@@ -64,7 +64,7 @@
 
 def test_each_metric_is_documented() -> None:
     metrics = Metrics('test')
-    metrics.watch_attainment(Attainment())
+    metrics.export_attainment(Attainment())
     text = read_docs_page('telemetry.md')
     documented = set(re.findall('sycamore_[a-z_]+', text))
     assert {gauge.value for gauge in Gauge} <= documented
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
@@ -87,13 +87,13 @@
 
     def register_metrics(self) -> None:
         """Register the gauges and transport counters of this process."""
-        self.metrics.watch_transport(self.node.counts)
+        self.metrics.export_transport_counts(self.node.counts)
         memory = self.memory
-        self.metrics.watch(Gauge.LEASES, lambda: len(memory.leases))
-        self.metrics.watch(Gauge.LEASED_TOKENS, lambda: memory.leased_tokens)
-        self.metrics.watch(Gauge.FREE_TOKENS, lambda: memory.free_tokens)
+        self.metrics.export_gauge(Gauge.LEASES, lambda: len(memory.leases))
+        self.metrics.export_gauge(Gauge.LEASED_TOKENS, lambda: memory.leased_tokens)
+        self.metrics.export_gauge(Gauge.FREE_TOKENS, lambda: memory.free_tokens)
         runs = self.runs
-        self.metrics.watch(Gauge.RUNNING, lambda: len(runs.in_progress()))
+        self.metrics.export_gauge(Gauge.RUNNING, lambda: len(runs.in_progress()))
 
     async def serve_peer(self, peer: Peer) -> None:
         """Handle the messages of one peer until cancelled."""
--- a/packages/sycamore-entry/src/sycamore_entry/components.py
+++ b/packages/sycamore-entry/src/sycamore_entry/components.py
@@ -93,7 +93,7 @@
         node = _make_node(settings, keys, incarnation, clock)
         metrics = Metrics(settings.name)
         seeds = SeedPeers(node, settings.seed_peers)
-        metrics.watch_transport(node.counts)
+        metrics.export_transport_counts(node.counts)
         keeper = SettingsKeeper.from_settings(settings, metrics, seeds)
         context = _make_context(settings, scheduler, clock, keeper)
         reservations = Reservations()
@@ -160,9 +160,9 @@
 def _register_gauges(context: EntryContext, keeper: SettingsKeeper) -> None:
     metrics = context.metrics
     registry = context.registry
-    metrics.watch(Gauge.RUNNING, lambda: len(registry))
-    metrics.watch(Gauge.SETTINGS_AGE, lambda: keeper.age)
-    metrics.watch_attainment(context.attainment)
+    metrics.export_gauge(Gauge.RUNNING, lambda: len(registry))
+    metrics.export_gauge(Gauge.SETTINGS_AGE, lambda: keeper.age)
+    metrics.export_attainment(context.attainment)
 
 
 def _current_claim(keeper: SettingsKeeper) -> SettingsClaim:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/admission.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/admission.py
@@ -1,7 +1,7 @@
 """Admission of requests: route, workspace, service and time limit."""
 
 from sycamore_core.decisions.direct import CallerTime, after_start
-from sycamore_core.hashes import stable_part
+from sycamore_core.hashes import stable_fraction
 from sycamore_core.ids import RequestId, ServiceId, WorkspaceId
 from sycamore_core.routing import Route, RoutingTable
 
@@ -73,7 +73,7 @@
 
 
 def _not_ready_refusal(keeper: FleetKeeper, terms: CallTerms) -> Refusal:
-    caller = CallerTime(_caller_timeout(terms), stable_part(terms.request_id))
+    caller = CallerTime(_caller_timeout(terms), stable_fraction(terms.request_id))
     silent_seconds = keeper.first_list.silent_seconds
     return Refusal(
         RefusalCause.NOT_READY,
@@ -104,7 +104,7 @@
 def _service_of(route: Route, request_id: str) -> ServiceId:
     """Return the service for a request, drawn by the route's weights."""
     total = sum(share.weight for share in route.services)
-    drawn = stable_part(request_id) * total
+    drawn = stable_fraction(request_id) * total
     for share in route.services:
         drawn -= share.weight
         if drawn < 0:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/calls.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/calls.py
@@ -2,7 +2,7 @@
 
 import msgspec
 from sycamore_core.decisions.direct import CallerTime
-from sycamore_core.hashes import stable_part
+from sycamore_core.hashes import stable_fraction
 from sycamore_core.ids import RequestId, WorkspaceId
 from sycamore_core.routing import Route, ServiceRecord
 
@@ -35,7 +35,7 @@
 
     def caller_time(self, now: float) -> CallerTime:
         """Return the caller's time left, which bounds its retry delay."""
-        return CallerTime(self.deadline - now, stable_part(self.request_id))
+        return CallerTime(self.deadline - now, stable_fraction(self.request_id))
 
     @property
     def objective_at(self) -> float:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/metrics.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/metrics.py
@@ -61,10 +61,10 @@
         """Return the exporter; create it on first use."""
         if self._metrics is None:
             self._metrics = Metrics(self.process)
-            self._metrics.show('forwarding_refusals', self.refusals)
-            self._metrics.show('forwarding_retries', self.retries)
-            self._metrics.show('forwarded_requests', self.outcomes)
-            self._metrics.show('unknown_headers', self.unknown_headers)
+            self._metrics.export_tally('forwarding_refusals', self.refusals)
+            self._metrics.export_tally('forwarding_retries', self.retries)
+            self._metrics.export_tally('forwarded_requests', self.outcomes)
+            self._metrics.export_tally('unknown_headers', self.unknown_headers)
             for band, seconds in self._buffered:
                 self._metrics.first_token(band, seconds)
         return self._metrics
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
@@ -19,7 +19,7 @@
     is_short_request,
     plan_in_cells,
 )
-from sycamore_core.hashes import stable_part
+from sycamore_core.hashes import stable_fraction
 from sycamore_core.ids import EndpointId, EntryId, RequestId, ZoneId
 from sycamore_core.routing import (
     EndpointRecord,
@@ -220,6 +220,6 @@
     def _tie_breaker(self, endpoint: EndpointId) -> float:
         tie_breaker = self._tie_breakers.get(endpoint)
         if tie_breaker is None:
-            tie_breaker = stable_part(f'{self.entry} {endpoint}')
+            tie_breaker = stable_fraction(f'{self.entry} {endpoint}')
             self._tie_breakers[endpoint] = tie_breaker
         return tie_breaker
--- a/packages/sycamore-standins/src/sycamore_standins/passes/policies.py
+++ b/packages/sycamore-standins/src/sycamore_standins/passes/policies.py
@@ -13,7 +13,7 @@
     is_worth_reading,
     plan_in_cells,
 )
-from sycamore_core.hashes import stable_part
+from sycamore_core.hashes import stable_fraction
 from sycamore_core.ids import EndpointId
 from sycamore_core.routing import EngineCosts
 
@@ -124,4 +124,4 @@
 
 
 def _tie(entry: int, name: EndpointId) -> float:
-    return stable_part(f'entry-{entry} {name}')
+    return stable_fraction(f'entry-{entry} {name}')
--- a/packages/sycamore-standins/src/sycamore_standins/passes/replay.py
+++ b/packages/sycamore-standins/src/sycamore_standins/passes/replay.py
@@ -12,7 +12,7 @@
     assignments_of,
     is_short_request,
 )
-from sycamore_core.hashes import stable_part
+from sycamore_core.hashes import stable_fraction
 from sycamore_core.ids import EndpointId, RequestId
 
 from ..virtual.timeline import Timeline
@@ -115,7 +115,7 @@
     def _send_away(self, answer: Answer) -> None:
         """Refuse a prompt that takes more from others than it is worth."""
         left = answer.request.at + _LIMIT_SECONDS - self.timeline.now
-        number = stable_part(answer.request.request_id)
+        number = stable_fraction(answer.request.request_id)
         self._refuse(answer, after_overload(CallerTime(left, number)))
 
     def _refuse(self, answer: Answer, seconds: float) -> None:
