--- a/packages/sycamore-core/src/sycamore_core/settings/provenance.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/provenance.py
@@ -66,7 +66,9 @@
     )
 
 
-def workspace_services(tree: TreeNode) -> Iterator[tuple[WorkspaceId, ServiceId]]:
+def workspace_services(
+    tree: TreeNode,
+) -> Iterator[tuple[WorkspaceId, ServiceId]]:
     """Yield each workspace with each service that it may use."""
     for name in sorted(tree.workspaces):
         services = sorted(tree.workspaces[name].services)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/__init__.py
@@ -1,7 +1,13 @@
 """Clients of the back end of an endpoint process."""
 
-from .base import Backend, AnswerChunk, StartGate
+from .base import AnswerChunk, Backend, StartGate
 from .engine import EngineBackend
 from .plain import PlainBackend
 
-__all__ = ('AnswerChunk', 'Backend', 'EngineBackend', 'PlainBackend', 'StartGate')
+__all__ = (
+    'AnswerChunk',
+    'Backend',
+    'EngineBackend',
+    'PlainBackend',
+    'StartGate',
+)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/engine.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/engine.py
@@ -18,7 +18,7 @@
     StreamInterruptedError,
     UnknownRunError,
 )
-from .base import Backend, AnswerChunk, StartGate
+from .base import AnswerChunk, Backend, StartGate
 from .calls import ControlClient
 from .lines import read_lines
 from .stream import CONNECT_SECONDS, TIMEOUT_MARGIN_SECONDS, StreamCall
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backends/plain.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backends/plain.py
@@ -7,7 +7,7 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPRequest
 
-from .base import Backend, AnswerChunk, StartGate
+from .base import AnswerChunk, Backend, StartGate
 from .stream import CONNECT_SECONDS, TIMEOUT_MARGIN_SECONDS, StreamCall
 
 _BODYLESS_METHODS = frozenset(('GET', 'HEAD', 'DELETE', 'OPTIONS'))
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/backend.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/backend.py
@@ -8,7 +8,7 @@
 from sycamore_core.messages import Message, Offer
 from sycamore_core.transport import Node
 
-from ..backends import Backend, EngineBackend, AnswerChunk, StartGate
+from ..backends import AnswerChunk, Backend, EngineBackend, StartGate
 from ..errors import GroupUnavailableError
 from ..state import EndpointState
 from .leader import GroupRun, Groups
@@ -79,7 +79,9 @@
         handle: str,
     ) -> AsyncIterator[AnswerChunk]:
         group.check()
-        generating = self.engine.stream_answer(group.offer, gate, seconds, handle)
+        generating = self.engine.stream_answer(
+            group.offer, gate, seconds, handle
+        )
         async with aclosing(generating) as pieces:
             async for piece in pieces:
                 group.check()
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/tests/test_groups.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/tests/test_groups.py
@@ -42,11 +42,15 @@
 
 async def start(stack: AsyncExitStack, folder: Path) -> Pair:
     platform = FakePlatform({})
-    url = await stack.enter_async_context(serve_application(platform.application()))
+    url = await stack.enter_async_context(
+        serve_application(platform.application())
+    )
     engines = [FakeEngine(), FakeEngine()]
     settings = []
     for number, engine in enumerate(engines, start=1):
-        backend = await stack.enter_async_context(serve_application(engine.application()))
+        backend = await stack.enter_async_context(
+            serve_application(engine.application())
+        )
         settings.append(make_settings(folder, backend, url, f'e{number}'))
     tree = make_tree(settings[0].listen)
     node = dict(tree['endpoints']['e1'], address=settings[1].listen)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/orders/keeper.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/orders/keeper.py
@@ -7,7 +7,7 @@
 from sycamore_core.ids import FencingNumber
 from sycamore_core.telemetry import Log
 
-from ..backends.calls import ControlClient, BackendStatusError
+from ..backends.calls import BackendStatusError, ControlClient
 from ..fleet import OwnSettings
 from ..state import EndpointState
 from .plan import (
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
@@ -90,10 +90,14 @@
         self.metrics.export_transport_counts(self.node.counts)
         memory = self.memory
         self.metrics.export_gauge(Gauge.LEASES, lambda: len(memory.leases))
-        self.metrics.export_gauge(Gauge.LEASED_TOKENS, lambda: memory.leased_tokens)
+        self.metrics.export_gauge(
+            Gauge.LEASED_TOKENS, lambda: memory.leased_tokens
+        )
         self.metrics.export_gauge(Gauge.FREE_TOKENS, lambda: memory.free_tokens)
         runs = self.runs
-        self.metrics.export_gauge(Gauge.RUNNING, lambda: len(runs.in_progress()))
+        self.metrics.export_gauge(
+            Gauge.RUNNING, lambda: len(runs.in_progress())
+        )
 
     async def serve_peer(self, peer: Peer) -> None:
         """Handle the messages of one peer until cancelled."""
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
@@ -10,7 +10,7 @@
 from sycamore_core.transport import Node
 
 from .admission import Admission
-from .backends import Backend, AnswerChunk
+from .backends import AnswerChunk, Backend
 from .errors import (
     BackendBusyError,
     GroupUnavailableError,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/admission.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/admission.py
@@ -73,7 +73,9 @@
 
 
 def _not_ready_refusal(keeper: FleetKeeper, terms: CallTerms) -> Refusal:
-    caller = CallerTime(_caller_timeout(terms), stable_fraction(terms.request_id))
+    caller = CallerTime(
+        _caller_timeout(terms), stable_fraction(terms.request_id)
+    )
     silent_seconds = keeper.first_list.silent_seconds
     return Refusal(
         RefusalCause.NOT_READY,
