--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/tests/test_groups.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""A prompt beyond one engine, between two endpoint processes."""
+"""A prompt too long for one engine, served by two endpoint processes."""
 
 import asyncio
 import dataclasses
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass
 class Pair:
-    """Two endpoint processes, the second of which leads."""
+    """Two endpoint processes; the second is the leader."""
 
     engines: list[FakeEngine]
     processes: list[EndpointProcess]
@@ -37,10 +37,12 @@
 
     @property
     def leased(self) -> list[int]:
-        return [one.parts.memory.leased_tokens for one in self.processes]
+        return [
+            process.parts.memory.leased_tokens for process in self.processes
+        ]
 
 
-async def start(stack: AsyncExitStack, folder: Path) -> Pair:
+async def start_pair(stack: AsyncExitStack, folder: Path) -> Pair:
     platform = FakePlatform({})
     url = await stack.enter_async_context(serving(platform.application()))
     engines = [FakeEngine(), FakeEngine()]
@@ -52,27 +54,29 @@
     node = dict(tree['endpoints']['e1'], address=settings[1].listen)
     tree['endpoints']['e2'] = node
     platform.tree = tree
-    processes = [EndpointProcess.from_settings(one) for one in settings]
-    tasks = [asyncio.create_task(one.run()) for one in processes]
+    processes = [EndpointProcess.from_settings(item) for item in settings]
+    tasks = [asyncio.create_task(process.run()) for process in processes]
     entry = EntryProbe()
     stack.push_async_callback(entry.node.close)
     for process, task in zip(processes, tasks, strict=True):
-        stack.push_async_callback(end, process, task)
+        stack.push_async_callback(stop_process, process, task)
     await entry.wait_live(settings[0].listen)
     entry.received.clear()
     incarnation = await entry.wait_live(settings[1].listen)
     return Pair(engines, processes, entry, incarnation)
 
 
-async def end(process: EndpointProcess, task: 'asyncio.Task[None]') -> None:
+async def stop_process(
+    process: EndpointProcess, task: 'asyncio.Task[None]'
+) -> None:
     for record in process.parts.runs.unfinished():
         if record.answer is not None:
-            record.answer.acked = len(record.answer.frames) - 1
+            record.answer.last_acknowledged = len(record.answer.frames) - 1
     process.stop()
     await task
 
 
-def huge_offer(pair: Pair):
+def make_long_offer(pair: Pair):
     return make_offer(
         incarnation=pair.incarnation,
         prompt_tokens=1500,
@@ -82,10 +86,10 @@
 
 
 def test_two_engines_serve_one_prompt(tmp_path: Path) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with AsyncExitStack() as stack:
-            pair = await start(stack, tmp_path)
-            pair.entry.send(pair.addresses[1], huge_offer(pair))
+            pair = await start_pair(stack, tmp_path)
+            pair.entry.send(pair.addresses[1], make_long_offer(pair))
             frames: list[Frame] = await pair.entry.wait(Frame, count=4)
             assert frames[-1].close.outcome is Outcome.COMPLETE
             handle = pair.engines[1].imports[0]
@@ -93,43 +97,43 @@
             await wait_until(lambda: pair.leased == [0, 0])
             await wait_until(lambda: not pair.engines[0].spans)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_member_without_room_leaves_nothing_leased(tmp_path: Path) -> None:
-    """A member has filled up since the group was planned.
+def test_full_member_leaves_no_leases(tmp_path: Path) -> None:
+    """Guard against leaked leases if a member filled up after the planning.
 
-    The caller is told that no group could be formed, nothing was generated,
-    and the memory that the leader had leased comes back.
+    The caller gets the refusal that no group is available, nothing is
+    generated, and the leader releases its memory.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with AsyncExitStack() as stack:
-            pair = await start(stack, tmp_path)
+            pair = await start_pair(stack, tmp_path)
             member = pair.processes[0].parts
             member.memory.capacity_tokens = 100
-            pair.entry.send(pair.addresses[1], huge_offer(pair))
+            pair.entry.send(pair.addresses[1], make_long_offer(pair))
             frames: list[Frame] = await pair.entry.wait(Frame)
             close = frames[0].close
             assert close.reason is RefusalReason.GROUP_UNAVAILABLE
             assert not pair.engines[1].started
             await wait_until(lambda: pair.leased == [0, 0])
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_leader_dies_half_way(tmp_path: Path) -> None:
-    """The leader dies while a member computes its span.
+def test_lease_expires_after_the_leader_dies(tmp_path: Path) -> None:
+    """Guard against leaked memory if the leader dies during a span.
 
-    Nobody renews the member's lease any more. It runs out, and the engine
-    beside the member frees what it holds, so that short turns find room.
+    The member's lease is no longer renewed. It expires, and the member's
+    engine frees the memory for short requests.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with AsyncExitStack() as stack:
-            pair = await start(stack, tmp_path)
+            pair = await start_pair(stack, tmp_path)
             pair.engines[0].gate.clear()
-            pair.entry.send(pair.addresses[1], huge_offer(pair))
+            pair.entry.send(pair.addresses[1], make_long_offer(pair))
             await wait_until(lambda: pair.engines[0].spans)
             leader = pair.processes[1].parts
             await leader.node.close()
@@ -137,4 +141,4 @@
             assert not pair.engines[0].spans
             pair.engines[0].gate.set()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/keys/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/keys/__init__.py
@@ -1,6 +1,6 @@
-"""Whether a request under its caller's own key may run here in one step."""
+"""Check whether a request with its caller's own key may run here."""
 
-from .doubt import Doubt, KeyFacts, doubt_about
+from .doubt import KeyContext, KeyRefusal, key_refusal
 from .history import HomeHistory
 
-__all__ = ('Doubt', 'HomeHistory', 'KeyFacts', 'doubt_about')
+__all__ = ('HomeHistory', 'KeyContext', 'KeyRefusal', 'key_refusal')
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/keys/history.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/keys/history.py
@@ -1,18 +1,18 @@
-"""Since when this process has been the home of a key."""
+"""Time since which this process has been the home of a key."""
 
 from collections.abc import Callable, Sequence
 
 import msgspec
 
-#: Changes of the list that are remembered. An older one only makes keys
-#: refused that might have run.
-MAX_LISTINGS = 16
+#: Number of endpoint lists kept. Without the older ones, some keys that could
+#: run are refused, which is safe.
+MAX_SNAPSHOTS = 16
 
-HomeOf = Callable[[Sequence[str]], str | None]
+HomeFunction = Callable[[Sequence[str]], str | None]
 
 
-class Listing(msgspec.Struct, frozen=True):
-    """The endpoints of the service, and when the list came into force here.
+class EndpointSnapshot(msgspec.Struct, frozen=True):
+    """List of the service's endpoints and the time it came into force here.
 
     Attributes
     ----------
@@ -25,13 +25,13 @@
 
 
 class HomeHistory:
-    """The lists of endpoints that this process has held.
+    """The endpoint lists that were in force at this process.
 
     Examples
     --------
     >>> history = HomeHistory('a')
-    >>> history.take(('a', 'b'), wall=10)
-    >>> history.take(('a',), wall=20)
+    >>> history.record(('a', 'b'), wall=10)
+    >>> history.record(('a',), wall=20)
     >>> history.home_since(lambda names: names[0])
     10
     >>> history.home_since(lambda names: names[-1])
@@ -40,37 +40,37 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.listings: list[Listing] = []
+        self.snapshots: list[EndpointSnapshot] = []
 
-    def take(self, names: Sequence[str], wall: float) -> None:
-        """Note the list of endpoints that is in force from now on."""
+    def record(self, names: Sequence[str], wall: float) -> None:
+        """Record the endpoint list that is in force from now on."""
         listed = tuple(sorted(names))
-        if self.listings and self.listings[-1].names == listed:
+        if self.snapshots and self.snapshots[-1].names == listed:
             return
-        self.listings.append(Listing(listed, wall))
-        self.listings = self.listings[-MAX_LISTINGS:]
+        self.snapshots.append(EndpointSnapshot(listed, wall))
+        self.snapshots = self.snapshots[-MAX_SNAPSHOTS:]
 
-    def lapse(self) -> None:
-        """Forget all lists, since the view of the settings was not fresh.
+    def clear(self) -> None:
+        """Drop all lists, since the view of the settings was not fresh.
 
-        What goes wrong otherwise: the home of a key moves to another
-        endpoint, which runs it, and back again, and this process sleeps or
-        is cut off meanwhile. It would believe that it was the home all the
-        time, and run the key a second time.
+        Otherwise a key could run twice: while this process is suspended or
+        disconnected, the home of the key moves to another endpoint, which
+        runs it, and back. This process would still count itself as the home
+        for the whole time.
         """
-        self.listings = []
+        self.snapshots = []
 
-    def home_since(self, home_of: HomeOf) -> float | None:
-        """Return since when this process is the home, or None if it is not.
+    def home_since(self, home_of: HomeFunction) -> float | None:
+        """Return when this process became the home, or None if it is not.
 
         Parameters
         ----------
         home_of
-            Returns the home of the key among some endpoints.
+            Returns the home of the key among the given endpoints.
         """
         since = None
-        for listing in reversed(self.listings):
-            if home_of(listing.names) != self.name:
+        for snapshot in reversed(self.snapshots):
+            if home_of(snapshot.names) != self.name:
                 return since
-            since = listing.since
+            since = snapshot.since
         return since
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/keys/keeper.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/keys/keeper.py
@@ -1,4 +1,4 @@
-"""Decides on keys with what this process knows at the moment."""
+"""Checks of keys against the current state of this process."""
 
 from collections.abc import Sequence
 
@@ -8,18 +8,18 @@
 from sycamore_core.platform import SettingsKeeper
 
 from ..state import EndpointState
-from .doubt import VIEW_SECONDS, Doubt, KeyFacts, doubt_about
+from .doubt import FRESH_VIEW_SECONDS, KeyContext, KeyRefusal, key_refusal
 from .history import HomeHistory
 
 
 class KeyKeeper:
-    """Knows since when this process is the home of which keys.
+    """Check whether requests with a caller's key may run here.
 
     Attributes
     ----------
     wall
-        Highest reading of the wall clock. A clock that is set back would
-        make a key that was too old, and is forgotten, young again.
+        Highest reading of the wall clock so far. If the clock could go back,
+        a key that was too old and has been dropped would be accepted again.
     """
 
     def __init__(self, state: EndpointState, keeper: SettingsKeeper) -> None:
@@ -27,37 +27,37 @@
         self.keeper = keeper
         self.history = HomeHistory(state.name)
         self.wall = state.clock.wall()
-        self.looked_at = state.clock.monotonic()
+        self.refreshed_at = state.clock.monotonic()
 
     def look(self) -> None:
-        """Look whether the view of the settings is fresh; often, by a task.
+        """Check whether the view of the settings is fresh; called often.
 
-        A long time since the last look was a pause of this process, in which
-        the view may have been old however fresh it is now.
+        A long gap since the last call means that this process was suspended.
+        The view may have been outdated then, even if it is fresh now.
         """
         now = self.state.clock.monotonic()
-        slept = now - self.looked_at > VIEW_SECONDS
-        self.looked_at = now
-        if slept or self.keeper.age > VIEW_SECONDS:
-            self.history.lapse()
-        if self.keeper.age <= VIEW_SECONDS:
-            self.take_settings()
+        was_suspended = now - self.refreshed_at > FRESH_VIEW_SECONDS
+        self.refreshed_at = now
+        if was_suspended or self.keeper.age > FRESH_VIEW_SECONDS:
+            self.history.clear()
+        if self.keeper.age <= FRESH_VIEW_SECONDS:
+            self.record_endpoints()
 
-    def take_settings(self) -> None:
-        """Note which endpoints share the keys of the service from now on."""
+    def record_endpoints(self) -> None:
+        """Record the endpoints that share the keys of the service."""
         own, fleet = self.state.own, self.keeper.fleet
         if own is None or fleet is None:
             return
         listed = fleet.endpoints_of(own.endpoint.service)
-        names = [entry.endpoint for entry in listed]
-        self.history.take(names, self._read_wall())
+        names = [endpoint.endpoint for endpoint in listed]
+        self.history.record(names, self._read_wall())
 
-    def doubt(self, offer: Offer) -> Doubt | None:
-        """Return why an offer under a caller's key must not run now."""
+    def doubt(self, offer: Offer) -> KeyRefusal | None:
+        """Return why an offer with a caller's key must not run now."""
         if offer.idempotent or not offer.idempotency_key:
             return None
         self.look()
-        facts = KeyFacts(
+        context = KeyContext(
             wall=self._read_wall(),
             home_since=self.history.home_since(
                 lambda names: _home(offer, names),
@@ -65,10 +65,10 @@
             view_age=self.keeper.age,
         )
         if offer.settings_version > self.keeper.version:
-            # An entry holds newer settings, so ours are not fresh whatever
-            # the platform has confirmed.
-            return Doubt.VIEW_OLD
-        return doubt_about(offer.idempotency_key, facts)
+            # The entry has newer settings, so the own view is outdated even
+            # if the platform has confirmed it.
+            return KeyRefusal.VIEW_OLD
+        return key_refusal(offer.idempotency_key, context)
 
     def _read_wall(self) -> float:
         self.wall = max(self.wall, self.state.clock.wall())
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/keys/tests/test_key_machine.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/keys/tests/test_key_machine.py
@@ -1,9 +1,9 @@
-"""Callers' keys under restarts, changes of settings, pauses and wrong clocks.
+"""Callers' keys under restarts, settings changes, suspensions and clock errors.
 
-Two endpoints share a service. Each has its own wall clock, which is wrong by
-up to 30 s, and its own view of the settings. A view that is fresh was
-confirmed within `VIEW_SECONDS`, as the platform tells the truth while it
-answers; it may not answer for as long as it likes.
+Two endpoints share a service. Each has its own wall clock with an error of up
+to 30 s, and its own view of the settings. A fresh view was confirmed within
+`FRESH_VIEW_SECONDS`. The platform answers correctly when it answers, but it
+may be unreachable for any length of time.
 """
 
 import uuid
@@ -13,17 +13,17 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from ..doubt import (
-    CLOCK_ERROR_SECONDS,
-    VIEW_SECONDS,
-    KeyFacts,
-    doubt_about,
+    FRESH_VIEW_SECONDS,
+    MAX_CLOCK_ERROR_SECONDS,
+    KeyContext,
+    key_refusal,
 )
 from ..history import HomeHistory
 
 NAMES = ('e1', 'e2')
 BEGIN = 1_700_000_000.0
-WHICH = st.sampled_from(NAMES)
-ERRORS = st.floats(-CLOCK_ERROR_SECONDS, CLOCK_ERROR_SECONDS)
+ENDPOINT_NAMES = st.sampled_from(NAMES)
+CLOCK_ERRORS = st.floats(-MAX_CLOCK_ERROR_SECONDS, MAX_CLOCK_ERROR_SECONDS)
 
 
 def key_at(seconds: float) -> str:
@@ -32,7 +32,7 @@
 
 
 class Endpoint:
-    """One endpoint process: its clock, its view, and when it was confirmed."""
+    """One endpoint process with its clock and its view of the settings."""
 
     def __init__(self, name: str, error: float) -> None:
         self.name = name
@@ -43,7 +43,7 @@
 
 
 class KeyMachine(RuleBasedStateMachine):
-    """The home moves, and everybody may be late to hear of it."""
+    """The home moves, and each endpoint may receive the change late."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -55,34 +55,34 @@
         for name in NAMES:
             self.confirm(name)
 
-    @rule(name=WHICH, error=ERRORS)
+    @rule(name=ENDPOINT_NAMES, error=CLOCK_ERRORS)
     def restart(self, name, error) -> None:
         self.endpoints[name] = Endpoint(name, error)
         self.confirm(name)
 
-    @rule(home=WHICH)
+    @rule(home=ENDPOINT_NAMES)
     def publish(self, home) -> None:
         self.home = home
 
-    @rule(name=WHICH)
+    @rule(name=ENDPOINT_NAMES)
     def confirm(self, name) -> None:
         endpoint = self.endpoints[name]
-        if self.now - endpoint.confirmed_at > VIEW_SECONDS:
-            endpoint.history.lapse()
+        if self.now - endpoint.confirmed_at > FRESH_VIEW_SECONDS:
+            endpoint.history.clear()
         endpoint.confirmed_at = self.now
-        endpoint.history.take((self.home,), self.now + endpoint.error)
+        endpoint.history.record((self.home,), self.now + endpoint.error)
 
-    @rule(home=WHICH)
-    def home_moves_and_serves(self, home) -> None:
-        """A common course of things, which chance alone seldom finds."""
+    @rule(home=ENDPOINT_NAMES)
+    def move_home_and_send(self, home) -> None:
+        """Run a common sequence that random draws seldom produce."""
         self.publish(home)
         self.confirm(home)
-        self.time_passes(400)
+        self.advance_time(400)
         self.confirm(home)
         self.issue(0)
         self.send(home, 0)
 
-    @rule(error=ERRORS)
+    @rule(error=CLOCK_ERRORS)
     def issue(self, error) -> None:
         self.keys.append(key_at(self.now + error))
 
@@ -91,10 +91,10 @@
         self.keys.append(key_at(self.now + ahead))
 
     @rule(seconds=st.sampled_from([0.1, 5, 19, 61, 150, 400]))
-    def time_passes(self, seconds) -> None:
+    def advance_time(self, seconds) -> None:
         self.now += seconds
 
-    @rule(name=WHICH, number=st.integers(0, 6))
+    @rule(name=ENDPOINT_NAMES, number=st.integers(0, 6))
     def send(self, name, number) -> None:
         if number >= len(self.keys):
             return
@@ -102,17 +102,17 @@
         endpoint = self.endpoints[name]
         if key in endpoint.ran:
             return
-        facts = KeyFacts(
+        context = KeyContext(
             wall=self.now + endpoint.error,
             home_since=endpoint.history.home_since(lambda names: names[0]),
             view_age=self.now - endpoint.confirmed_at,
         )
-        if doubt_about(key, facts) is None:
+        if key_refusal(key, context) is None:
             endpoint.ran.add(key)
             self.runs[key] = self.runs.get(key, 0) + 1
 
     @invariant()
-    def at_most_once(self) -> None:
+    def runs_at_most_once(self) -> None:
         assert all(count == 1 for count in self.runs.values())
 
 
@@ -125,21 +125,20 @@
 TestKeyMachine = KeyMachine.TestCase
 
 
-def facts(home_since: float = BEGIN, view_age: float = 1) -> KeyFacts:
-    return KeyFacts(BEGIN + 1000, home_since, view_age)
+def make_context(home_since: float = BEGIN, view_age: float = 1) -> KeyContext:
+    return KeyContext(BEGIN + 1000, home_since, view_age)
 
 
-def test_fresh_key_of_a_settled_home_runs() -> None:
-    assert doubt_about(key_at(BEGIN + 990), facts()) is None
+def test_fresh_key_runs_at_a_stable_home() -> None:
+    assert key_refusal(key_at(BEGIN + 990), make_context()) is None
 
 
 def test_key_from_before_a_restart_is_refused() -> None:
-    """The process beside the booking application was restarted.
+    """Guard against running a deposit again after a process restart.
 
-    A deposit that its predecessor may have recorded is sent again. It is
-    refused, and its caller is not told that it was not run.
+    The previous process may have run the deposit before the restart.
     """
     key = key_at(BEGIN + 990)
-    doubt = doubt_about(key, facts(home_since=BEGIN + 980))
-    assert doubt is not None
-    assert doubt.value == 'too_early'
+    refusal = key_refusal(key, make_context(home_since=BEGIN + 980))
+    assert refusal is not None
+    assert refusal.value == 'too_early'
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""What one endpoint process must remember: memory, runs and answers."""
+"""State of one endpoint process: memory leases, runs and answers."""
 
 from .answers import WINDOW_FRAMES, Answer
 from .memory import LeaseKey, LeaseKind, MemoryLease, MemoryLedger
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/answers.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/answers.py
@@ -1,4 +1,4 @@
-"""The answer of one run: its frames, its checksum and its window."""
+"""Frames, checksum and send window of the answer of one run."""
 
 import zlib
 from collections.abc import Sequence as Series
@@ -7,25 +7,26 @@
 from sycamore_core.messages import Close, Frame, PlainReply
 from sycamore_core.states import Outcome, RefusalReason
 
-#: Frames that may be on their way to an entry without its acknowledgement.
-#: At 30 ms a step this is two seconds of one stream, far above the round trip
-#: between two zones (3 ms), and bounds what a slow caller makes us hold.
+#: Maximum number of frames posted to an entry and not acknowledged. At 30 ms
+#: per step this covers two seconds of a stream, far more than the round trip
+#: between two zones (3 ms). It also bounds the memory that a slow caller can
+#: occupy.
 WINDOW_FRAMES = 64
 
 
 class Answer:
-    """Frames of one attempt, kept until the answer is forgotten.
+    """Frames of one attempt, kept until the answer is dropped.
 
-    An acknowledged frame stays: the entry has handed it on, but its caller
-    may have lost it with the connection and ask for it again through another
-    entry.
+    Acknowledged frames are kept as well. The entry has forwarded them, but
+    the caller may have lost them with its connection and may request them
+    again through another entry.
 
     Attributes
     ----------
-    acked
-        Highest sequence that the entry has handed on; -1 at first.
-    posted
-        Highest sequence that was posted to the entry; -1 at first.
+    last_acknowledged
+        Highest sequence number that the entry has forwarded; initially -1.
+    last_posted
+        Highest sequence number posted to the entry; initially -1.
 
     Examples
     --------
@@ -43,24 +44,24 @@
         self.checksum = 0
         self.tokens = 0
         self.size = 0
-        self.acked = -1
-        self.posted = -1
+        self.last_acknowledged = -1
+        self.last_posted = -1
 
     @property
     def closed(self) -> bool:
-        """Whether the closing frame is there."""
+        """Whether the answer has its closing frame."""
         return bool(self.frames) and self.frames[-1].close is not None
 
     @property
-    def taken(self) -> bool:
-        """Whether the closing frame was acknowledged."""
-        return self.closed and self.acked >= len(self.frames) - 1
+    def is_acknowledged(self) -> bool:
+        """Whether the entry has acknowledged the closing frame."""
+        return self.closed and self.last_acknowledged >= len(self.frames) - 1
 
     @property
     def has_room(self) -> bool:
-        """Whether the window lets another frame be read from the engine."""
-        waiting = len(self.frames) - 1 - self.acked
-        return waiting < WINDOW_FRAMES
+        """Whether the window allows another frame to be read."""
+        unacknowledged = len(self.frames) - 1 - self.last_acknowledged
+        return unacknowledged < WINDOW_FRAMES
 
     def add(
         self,
@@ -68,7 +69,7 @@
         tokens: int,
         plain_reply: PlainReply | None = None,
     ) -> None:
-        """Append a piece of the answer; ignored once it is closed."""
+        """Append a frame; ignored once the answer is closed."""
         if self.closed:
             return
         self.checksum = zlib.crc32(payload, self.checksum)
@@ -90,7 +91,7 @@
         outcome: Outcome,
         reason: RefusalReason | None = None,
     ) -> None:
-        """Append the closing frame; only the first call has an effect."""
+        """Append the closing frame; later calls have no effect."""
         if self.closed:
             return
         close = Close(
@@ -110,31 +111,32 @@
         )
 
     def due(self) -> Series[Frame]:
-        """Return the frames to post now and count them as posted."""
-        first = self.posted + 1
-        beyond = self.acked + 1 + WINDOW_FRAMES
-        due = self.frames[first:beyond]
-        self.posted += len(due)
+        """Return the frames to post now and mark them as posted."""
+        first = self.last_posted + 1
+        stop = self.last_acknowledged + 1 + WINDOW_FRAMES
+        due = self.frames[first:stop]
+        self.last_posted += len(due)
         return due
 
     def acknowledge(self, sequence: int) -> None:
-        """Note that the entry handed on the frames up to `sequence`.
+        """Record that the entry forwarded the frames up to `sequence`.
 
-        A number beyond what was posted comes from a broken or foreign
-        message; it is ignored, or the rest of the answer would be withheld.
+        A number above the last posted frame comes from a corrupt or foreign
+        message and is ignored. Otherwise the frames that it skips would never
+        be sent.
         """
-        if self.acked < sequence <= self.posted:
-            self.acked = sequence
+        if self.last_acknowledged < sequence <= self.last_posted:
+            self.last_acknowledged = sequence
 
     def rewind(self, after: int) -> None:
-        """Let the frames after `after` be posted again."""
+        """Post the frames after sequence number `after` again."""
         newest = len(self.frames) - 1
         last = min(max(after, -1), newest)
-        self.acked = last
-        self.posted = last
+        self.last_acknowledged = last
+        self.last_posted = last
 
     def latest(self) -> Frame | None:
-        """Return the frame posted last, if it is not acknowledged."""
-        if self.posted <= self.acked:
+        """Return the last posted frame, or None if it is acknowledged."""
+        if self.last_posted <= self.last_acknowledged:
             return None
-        return self.frames[self.posted]
+        return self.frames[self.last_posted]
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/memory.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/memory.py
@@ -1,8 +1,8 @@
-"""The memory of the engine, leased in tokens to runs and spans.
+"""Leases of the engine's memory, in tokens, to runs and spans.
 
 The sum of the leases never exceeds the capacity. A lease ends in two steps:
-what it was for is given up, and then the engine confirms that it holds
-nothing for it any more. Freeing at the first step would promise memory that
+its run or span is cancelled, and then the engine confirms that it has freed
+the memory. Freeing the lease at the first step would lease out memory that
 the engine still uses.
 """
 
@@ -12,21 +12,21 @@
 import msgspec
 from sycamore_core.errors import LedgerError
 
-#: How long after its release a lease is still known to reconciliation, in
-#: seconds. A report of the engine that was under way may name it; one takes
-#: at most the control time-out of 2 s.
-RELEASED_SECONDS = 10.0
+#: How long the key of a freed lease is remembered for reconciliation, in
+#: seconds. An engine report requested before the release may still name the
+#: key; a report takes at most the control timeout of 2 s.
+RELEASED_KEY_RETENTION_SECONDS = 10.0
 
 
 class LeaseKind(enum.StrEnum):
-    """What memory is leased to."""
+    """Kind of lease holder."""
 
     RUN = 'run'
     SPAN = 'span'
 
 
 class LeaseKey(msgspec.Struct, frozen=True):
-    """Holder of a lease: a request id, or a group and its span."""
+    """Holder of a lease: a request id, or a group id and a span number."""
 
     kind: LeaseKind
     name: str
@@ -34,17 +34,17 @@
 
 
 class MemoryLease(msgspec.Struct):
-    """Tokens held by one run or span.
+    """Memory leased to one run or span.
 
     Attributes
     ----------
     expires_at
-        Monotonic time at which the lease is given up by itself, in seconds.
+        Monotonic time at which the lease expires, in seconds.
     releasing
-        Given up, but not yet confirmed by the engine.
+        Whether the release has begun but the engine has not confirmed it.
     changed_at
-        Monotonic time at which it was taken or given up, in seconds. A report
-        asked for before says nothing about it.
+        Monotonic time at which the lease was acquired or its release began,
+        in seconds. An engine report requested earlier does not reflect it.
     """
 
     key: LeaseKey
@@ -55,17 +55,17 @@
 
 
 class Reconciliation(msgspec.Struct, frozen=True):
-    """What a report of the engine showed.
+    """Differences between the ledger and a report of the engine.
 
     Attributes
     ----------
     freed
-        Leases that had been given up and are now confirmed as free.
+        Leases in release that the engine has confirmed as free.
     unknown
-        Holders that the engine reports and the ledger does not know; they
-        are to be cancelled.
+        Holders that the engine reports and the ledger does not list; they
+        are to be cancelled at the engine.
     missing
-        Leases in use for which the engine holds nothing.
+        Leases in use that the report does not contain.
     """
 
     freed: tuple[LeaseKey, ...]
@@ -74,7 +74,7 @@
 
 
 class MemoryLedger:
-    """Leases of one engine's memory.
+    """Ledger of the leases of one engine's memory.
 
     Parameters
     ----------
@@ -96,7 +96,7 @@
     def __init__(self, capacity_tokens: int) -> None:
         self.capacity_tokens = capacity_tokens
         self.leases: dict[LeaseKey, MemoryLease] = {}
-        self.foreign: dict[LeaseKey, int] = {}
+        self.unknown_usage: dict[LeaseKey, int] = {}
         self.released: dict[LeaseKey, float] = {}
 
     @property
@@ -106,9 +106,9 @@
 
     @property
     def free_tokens(self) -> int:
-        """Tokens that can be leased now; never negative."""
-        foreign = sum(self.foreign.values())
-        return max(0, self.capacity_tokens - self.leased_tokens - foreign)
+        """Tokens available to lease now; never negative."""
+        unknown = sum(self.unknown_usage.values())
+        return max(0, self.capacity_tokens - self.leased_tokens - unknown)
 
     def take(
         self,
@@ -117,22 +117,22 @@
         expires_at: float,
         now: float,
     ) -> bool:
-        """Lease memory; False if there is too little.
+        """Lease memory; return False if too little is free.
 
         Raises
         ------
         LedgerError
-            If the holder has a lease already, or asks for less than nothing.
+            If the holder already has a lease, or `tokens` is negative.
         """
         if key in self.leases or tokens < 0:
-            raise LedgerError(f'lease of {key}')
+            raise LedgerError(f'duplicate or negative lease of {key}')
         if tokens > self.free_tokens:
             return False
         self.leases[key] = MemoryLease(key, tokens, expires_at, now)
         return True
 
     def renew(self, key: LeaseKey, expires_at: float) -> bool:
-        """Put off the expiry of a lease; False if it is not held."""
+        """Extend a lease; return False if there is none in use."""
         lease = self.leases.get(key)
         if lease is None or lease.releasing:
             return False
@@ -140,7 +140,7 @@
         return True
 
     def give_up(self, key: LeaseKey, now: float) -> None:
-        """End the use of a lease; it is freed once the engine confirms."""
+        """Begin the release of a lease; `reconcile` frees it later."""
         lease = self.leases.get(key)
         if lease is None or lease.releasing:
             return
@@ -148,12 +148,12 @@
         lease.changed_at = now
 
     def release(self, key: LeaseKey, now: float) -> None:
-        """Free a lease for which the engine certainly holds nothing."""
+        """Free a lease whose memory the engine has certainly freed."""
         if self.leases.pop(key, None) is not None:
             self.released[key] = now
 
     def expire(self, now: float) -> tuple[LeaseKey, ...]:
-        """Give up the leases that are out of time and return them."""
+        """Begin the release of expired leases and return their keys."""
         expired = tuple(
             lease.key
             for lease in self.leases.values()
@@ -169,14 +169,14 @@
         asked_at: float,
         now: float,
     ) -> Reconciliation:
-        """Compare the ledger with what the engine holds.
+        """Compare the ledger with the memory that the engine uses.
 
         Parameters
         ----------
         usage
-            Tokens by holder, complete, as the engine reported it.
+            All holders that the engine reported, with their tokens.
         asked_at
-            Monotonic time at which the report was asked for, in seconds.
+            Monotonic time at which the report was requested, in seconds.
         """
         absent = [
             lease
@@ -186,15 +186,15 @@
         freed = tuple(lease.key for lease in absent if lease.releasing)
         for key in freed:
             self.release(key, now)
-        self._forget_released(now)
-        self.foreign = dict(self._foreign(usage, asked_at))
+        self._prune_released(now)
+        self.unknown_usage = dict(self._unknown_holders(usage, asked_at))
         return Reconciliation(
             freed=freed,
-            unknown=tuple(self.foreign),
+            unknown=tuple(self.unknown_usage),
             missing=tuple(lease.key for lease in absent if not lease.releasing),
         )
 
-    def _foreign(
+    def _unknown_holders(
         self,
         usage: Mapping[LeaseKey, int],
         asked_at: float,
@@ -206,8 +206,8 @@
             if key not in self.leases:
                 yield key, tokens
 
-    def _forget_released(self, now: float) -> None:
-        horizon = now - RELEASED_SECONDS
+    def _prune_released(self, now: float) -> None:
+        cutoff = now - RELEASED_KEY_RETENTION_SECONDS
         self.released = {
-            key: at for key, at in self.released.items() if at > horizon
+            key: at for key, at in self.released.items() if at > cutoff
         }
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/owners.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/owners.py
@@ -1,28 +1,29 @@
-"""Whether the entries that own answers are still there."""
+"""Detection of lost entries that own answers."""
 
 from collections.abc import Iterable
 
 from .records import Owner
 
-#: An entry not heard of for this long is silent, in seconds. It sends a
-#: heartbeat every second, so three or four were lost in a row.
-ENTRY_LEASE_SECONDS = 4.0
-#: How long the runs of a silent entry are kept for another one to attach to,
-#: in seconds. A caller notices a broken connection at once and comes back
-#: through the balancer within a few seconds.
+#: Time without a message after which an entry counts as silent, in seconds.
+#: Entries send a heartbeat every second, so three or four were lost in a row.
+ENTRY_SILENCE_TIMEOUT_SECONDS = 4.0
+#: How long the runs of a silent entry are kept so that another entry can
+#: attach to them, in seconds. A caller detects a broken connection at once and
+#: reconnects through the load balancer within a few seconds.
 ORPHAN_GRACE_SECONDS = 10.0
-#: A longer gap between two looks means that this process itself was paused,
-#: in seconds; it looks four times a second.
-PAUSE_SECONDS = 1.0
+#: Gap between two ticks above which this process itself was suspended, in
+#: seconds. Ticks normally come four times a second.
+MIN_PAUSE_SECONDS = 1.0
 
 
 class OwnerLeases:
-    """When each owner was heard last, by time in which we could have heard.
+    """Time of the last message of each owner, without own suspensions.
 
-    What goes wrong without this care: this process is paused for a minute,
-    wakes, finds that no entry was heard of for a minute, and cancels the runs
-    of all of them. Callers would see answers cut although nothing but this
-    process was late. The time of our own pause therefore does not count.
+    Time during which this process was suspended does not count as silence of
+    an owner. Otherwise a process that resumes after a minute would find that
+    no entry sent a message for a minute and would cancel the runs of all
+    entries. Callers would see truncated answers although only this process
+    was late.
 
     Examples
     --------
@@ -35,35 +36,39 @@
     """
 
     def __init__(self) -> None:
-        self.heard_at: dict[Owner, float] = {}
+        self.last_received_at: dict[Owner, float] = {}
         self.ticked_at: float | None = None
 
     def hear(self, owner: Owner, now: float) -> None:
-        """Note a sign of life."""
-        self.heard_at[owner] = now
+        """Record that a message from the owner arrived."""
+        self.last_received_at[owner] = now
 
     def tick(self, now: float) -> None:
-        """Look at the clock; put off all leases by the length of a pause."""
+        """Extend all leases by the length of a suspension, if there was one."""
         last = now if self.ticked_at is None else self.ticked_at
         gap = now - last
-        if gap > PAUSE_SECONDS:
-            self.heard_at = {
-                owner: heard + gap for owner, heard in self.heard_at.items()
+        if gap > MIN_PAUSE_SECONDS:
+            self.last_received_at = {
+                owner: received + gap
+                for owner, received in self.last_received_at.items()
             }
         self.ticked_at = now
 
     def is_gone(self, owner: Owner, now: float) -> bool:
-        """Whether the owner was silent for its lease and the grace."""
-        heard = self.heard_at.get(owner)
-        if heard is None:
+        """Return whether the owner was silent beyond its timeout and grace."""
+        received = self.last_received_at.get(owner)
+        if received is None:
             return True
-        return now - heard > ENTRY_LEASE_SECONDS + ORPHAN_GRACE_SECONDS
+        return (
+            now - received
+            > ENTRY_SILENCE_TIMEOUT_SECONDS + ORPHAN_GRACE_SECONDS
+        )
 
     def forget(self, kept: Iterable[Owner], now: float) -> None:
-        """Drop what is silent and owns nothing."""
+        """Drop silent owners that are not in `kept`."""
         needed = frozenset(kept)
-        self.heard_at = {
-            owner: heard
-            for owner, heard in self.heard_at.items()
+        self.last_received_at = {
+            owner: received
+            for owner, received in self.last_received_at.items()
             if owner in needed or not self.is_gone(owner, now)
         }
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/records.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/records.py
@@ -1,4 +1,4 @@
-"""What the run ledger remembers of one request."""
+"""Records of the run ledger."""
 
 import msgspec
 from sycamore_core.ids import Attempt, Incarnation, RequestId
@@ -11,10 +11,10 @@
 
 
 class Owner(msgspec.Struct, frozen=True):
-    """The entry process that receives an answer.
+    """Entry process that receives an answer.
 
-    An entry that restarts listens at the same address but knows nothing of
-    the run, hence its incarnation.
+    The incarnation tells a restarted entry from its predecessor: it listens
+    at the same address but has no record of the run.
     """
 
     address: str
@@ -22,20 +22,20 @@
 
 
 class RunRecord(msgspec.Struct, kw_only=True):
-    """One request at this endpoint process.
+    """State of one request at this endpoint process.
 
     Attributes
     ----------
     execution
-        `RAN` from the moment at which the back end may have begun, over all
-        attempts; `NOT_RUN` before.
+        `RAN` from the moment at which the backend may have started any
+        attempt; `NOT_RUN` before.
     deadline
         Monotonic time by which the run must have ended, in seconds.
     forget_at
-        Monotonic time from which on no packet about the request can arrive
-        any more, in seconds.
+        Monotonic time after which no packet about the request can arrive, in
+        seconds. The record is kept until then.
     declines
-        The last attempt that was declined, for each entry that offered one.
+        The last declined attempt, by the entry that offered it.
     """
 
     request_id: RequestId
@@ -51,20 +51,20 @@
 
     @property
     def in_progress(self) -> bool:
-        """Whether the run holds memory or a place at the back end."""
+        """Whether the run is accepted or running."""
         return self.state in _IN_PROGRESS
 
     @property
-    def may_run(self) -> bool:
-        """Whether a newer attempt may take the place of this one."""
+    def accepts_retry(self) -> bool:
+        """Whether a newer attempt may replace this one."""
         if self.state is RunState.WITHDRAWN or self.in_progress:
             return False
         if self.execution is Execution.NOT_RUN:
             return True
         offer = self.offer
-        return offer is not None and offer.idempotent and self.ended_badly
+        return offer is not None and offer.idempotent and self.ended_incomplete
 
     @property
-    def ended_badly(self) -> bool:
-        """Whether the run ended without a whole answer."""
+    def ended_incomplete(self) -> bool:
+        """Whether the run ended without a complete answer."""
         return self.state in {RunState.FAILED, RunState.CANCELLED}
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/run_rules.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/run_rules.py
@@ -1,22 +1,23 @@
-"""What may be said of a run, and for how long it has to be remembered."""
+"""Rules on reporting, declining and retaining runs."""
 
 from sycamore_core.ids import Attempt
 from sycamore_core.messages import Declined, Offer, RunReport
 from sycamore_core.states import Execution, RefusalReason, RunState
 from sycamore_core.transport.ages import MAX_PACKET_AGE
 
-from ..keys.doubt import REMEMBERED_SECONDS
+from ..keys.doubt import KEY_RETENTION_SECONDS
 from .records import Owner, RunRecord
 
-#: Budget assumed for an id of which only a withdrawal was seen, in seconds:
-#: the longest time limit that settings allow by default.
-LONGEST_BUDGET_SECONDS = 3600.0
+#: Budget assumed for an id known only from a withdrawal, in seconds. It is the
+#: longest time limit that settings allow by default.
+MAX_BUDGET_SECONDS = 3600.0
 
 
-def report_of(record: RunRecord, attempt: Attempt) -> RunReport:
-    """Return what an entry may be told of a run.
+def make_report(record: RunRecord, attempt: Attempt) -> RunReport:
+    """Return the report about a run that an entry may receive.
 
-    `NOT_RUN` only of what is barred; what is accepted may start any moment.
+    Only a withdrawn run is reported as `NOT_RUN`, since an accepted run may
+    start at any moment.
     """
     execution = record.execution
     if (
@@ -32,26 +33,26 @@
     )
 
 
-def horizon(offer: Offer, now: float) -> float:
-    """Return when no packet about a request can arrive any more.
+def retention_deadline(offer: Offer, now: float) -> float:
+    """Return the time after which no packet about a request can arrive.
 
-    An entry that was paused may send an offer long after it posted it, as if
-    it were new. What may not run twice is therefore remembered for the
-    longest budget, and a caller's key until it is too old to be run.
+    A suspended entry may send an offer long after posting it, as if it were
+    new. A non-idempotent request is therefore remembered for the longest
+    budget, and at least until its caller's key is too old to run.
     """
     if offer.idempotent:
         return now + max(offer.budget, 0) + MAX_PACKET_AGE
-    kept = LONGEST_BUDGET_SECONDS + MAX_PACKET_AGE
-    return now + max(kept, REMEMBERED_SECONDS)
+    retention = MAX_BUDGET_SECONDS + MAX_PACKET_AGE
+    return now + max(retention, KEY_RETENTION_SECONDS)
 
 
-def declined(
+def make_declined(
     offer: Offer,
     reason: RefusalReason,
     execution: Execution,
     retry_after: float = 0,
 ) -> Declined:
-    """Return that an attempt may not run, and what is known of it."""
+    """Return the message that declines an attempt."""
     return Declined(
         request_id=offer.request_id,
         attempt=offer.attempt,
@@ -62,7 +63,7 @@
 
 
 def without_payload(offer: Offer) -> Offer:
-    """Return an offer whose prompt is not kept: it may be megabytes."""
+    """Return a copy without the prompt, which may be several megabytes."""
     fields = {
         name: getattr(offer, name)
         for name in Offer.__struct_fields__
@@ -71,21 +72,21 @@
     return Offer(payload=b'', **fields)
 
 
-def unknown_refusal(offer: Offer) -> Declined | None:
-    """Return why an offer may not run of which the ledger knows nothing."""
+def unknown_id_refusal(offer: Offer) -> Declined | None:
+    """Return why an offer with an id not in the ledger may not run."""
     if not offer.bound:
         return None
-    # The reservation was used and forgotten, or ran out long ago. Only the
-    # second would allow to say that it was not run.
-    return declined(
+    # The reservation was either used and dropped from the ledger, or it
+    # expired long ago. Only an expired one certainly did not run.
+    return make_declined(
         offer,
         RefusalReason.RESERVATION_EXPIRED,
         Execution.UNKNOWN,
     )
 
 
-def can_bar(record: RunRecord, owner: Owner | None) -> bool:
-    """Return whether a run can be kept from ever starting."""
+def can_withdraw(record: RunRecord, owner: Owner | None) -> bool:
+    """Return whether a run can still be prevented from starting."""
     if record.state is RunState.ACCEPTED:
         return record.owner == owner
     started = record.execution is not Execution.NOT_RUN
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/runs.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/runs.py
@@ -1,13 +1,13 @@
 """The runs of one endpoint process, by request id.
 
-Rules that hold whatever is lost, doubled or late:
+These rules hold under lost, duplicated and late messages:
 
 - a request starts at most once, unless it is idempotent and its last attempt
   failed;
-- an id that was reported as not run is barred until no packet about it can
+- an id that was reported as not run cannot start until no packet about it can
   arrive any more;
-- an attempt that was declined stays declined, however often it is offered;
-- only the entry that attached last acknowledges, withdraws or cancels.
+- a declined attempt stays declined, however often it is offered;
+- only the entry that attached last can acknowledge, withdraw or cancel.
 """
 
 from collections.abc import Iterable
@@ -28,21 +28,22 @@
 from .answers import Answer
 from .records import Owner, RunRecord
 from .run_rules import (
-    LONGEST_BUDGET_SECONDS,
-    can_bar,
-    declined,
-    horizon,
-    report_of,
-    unknown_refusal,
+    MAX_BUDGET_SECONDS,
+    can_withdraw,
+    make_declined,
+    make_report,
+    retention_deadline,
+    unknown_id_refusal,
     without_payload,
 )
 
-#: How long a reserved id waits for its request, in seconds. A caller that
-#: reserves is about to send; a minute survives a lost connection and a retry.
+#: How long a reserved id waits for its request, in seconds. A caller sends its
+#: request right after the reservation; a minute leaves time for a lost
+#: connection and a retry.
 RESERVATION_SECONDS = 60.0
-#: How long an answer is kept past the deadline of its run, in seconds, for a
-#: caller that lost it with the connection and comes back.
-ANSWER_SECONDS = 30.0
+#: How long an answer is kept past the deadline of its run, in seconds, for
+#: callers that reconnect after a lost connection.
+ANSWER_RETENTION_SECONDS = 30.0
 
 _OUTCOME_STATES = MappingProxyType(
     {
@@ -55,7 +56,7 @@
 
 
 class RunLedger:
-    """All requests that this endpoint process must remember.
+    """Ledger of the requests known to this endpoint process.
 
     Examples
     --------
@@ -77,42 +78,42 @@
         return [run for run in self.records.values() if run.in_progress]
 
     def unfinished(self) -> list[RunRecord]:
-        """Return the runs whose answer is not wholly taken."""
+        """Return the runs whose answer is not fully acknowledged."""
         return [
             run
             for run in self.records.values()
             if run.in_progress
-            or (run.answer is not None and not run.answer.taken)
+            or (run.answer is not None and not run.answer.is_acknowledged)
         ]
 
     def reserve(self, request_id: RequestId, now: float) -> None:
-        """Record an id that was minted here for a reservation.
+        """Record an id that this process created for a reservation.
 
         Raises
         ------
         LedgerError
-            If the id is known already.
+            If the id is already in the ledger.
         """
         if request_id in self.records:
-            raise LedgerError('reserved twice')
+            raise LedgerError('request id is already in use')
         self.records[request_id] = RunRecord(
             request_id=request_id,
             attempt=Attempt(0),
             state=RunState.RESERVED,
             deadline=now + RESERVATION_SECONDS,
-            forget_at=now + RESERVATION_SECONDS + LONGEST_BUDGET_SECONDS,
+            forget_at=now + RESERVATION_SECONDS + MAX_BUDGET_SECONDS,
         )
 
     def answer_again(self, offer: Offer, owner: Owner) -> RunRecord | None:
-        """Return the run that this offer is a repetition of, if any.
+        """Return the run that this offer repeats, or None.
 
-        The answer then goes to the entry that repeated it: a caller may
-        send a bound request again through another one.
+        The answer then goes to the entry that repeated the offer, since a
+        caller may resend a bound request through another entry.
         """
         record = self.records.get(offer.request_id)
         if record is None or record.answer is None:
             return None
-        if record.may_run and offer.attempt > record.attempt:
+        if record.accepts_retry and offer.attempt > record.attempt:
             return None
         if record.owner != owner:
             record.owner = owner
@@ -125,25 +126,25 @@
         owner: Owner,
         now: float,
     ) -> Declined | None:
-        """Return why this offer may not run by the rules of the ledger."""
+        """Return why this offer may not run, or None if it may."""
         record = self.records.get(offer.request_id)
         if record is None:
-            return unknown_refusal(offer)
+            return unknown_id_refusal(offer)
         earlier = record.declines.get(owner)
         if earlier is not None and offer.attempt <= earlier.attempt:
             return earlier
         if record.state is RunState.RESERVED and record.deadline <= now:
-            return declined(
+            return make_declined(
                 offer,
                 RefusalReason.RESERVATION_EXPIRED,
                 Execution.NOT_RUN,
             )
-        if record.state is RunState.RESERVED or record.may_run:
+        if record.state is RunState.RESERVED or record.accepts_retry:
             return None
         reason = RefusalReason.WITHDRAWN
         if record.execution is not Execution.NOT_RUN:
             reason = RefusalReason.OUTCOME_UNKNOWN
-        return declined(offer, reason, record.execution)
+        return make_declined(offer, reason, record.execution)
 
     def decline(
         self,
@@ -153,11 +154,11 @@
         now: float,
         retry_after: float = 0,
     ) -> Declined:
-        """Record that an attempt is declined for good.
+        """Record that an attempt is declined permanently.
 
-        What goes wrong otherwise: an offer is sent twice, the first copy is
-        declined for want of memory, the entry runs the request elsewhere,
-        and the second copy finds memory and runs it again.
+        Without the record, a duplicated offer could run twice: the first copy
+        is declined for lack of memory, the entry runs the request elsewhere,
+        and the second copy finds free memory and runs here.
         """
         record = self.records.get(offer.request_id)
         if record is None:
@@ -169,11 +170,11 @@
                 offer=without_payload(offer),
             )
             self.records[offer.request_id] = record
-        record.forget_at = max(record.forget_at, horizon(offer, now))
+        record.forget_at = max(record.forget_at, retention_deadline(offer, now))
         execution = record.execution
         if record.in_progress:
             execution = Execution.UNKNOWN
-        answer = declined(offer, reason, execution, retry_after)
+        answer = make_declined(offer, reason, execution, retry_after)
         record.declines[owner] = answer
         return answer
 
@@ -184,15 +185,15 @@
         deadline: float,
         now: float,
     ) -> RunRecord:
-        """Record a run that is to start.
+        """Record an accepted run.
 
         Raises
         ------
         LedgerError
-            If the rules of the ledger do not allow it.
+            If `refusal` returns a reason for this offer.
         """
         if self.refusal(offer, owner, now) is not None:
-            raise LedgerError('admitted against the rules')
+            raise LedgerError('admitted an offer that the ledger refuses')
         earlier = self.records.get(offer.request_id)
         execution = Execution.NOT_RUN
         if earlier is not None:
@@ -203,7 +204,7 @@
             state=RunState.ACCEPTED,
             execution=execution,
             deadline=deadline,
-            forget_at=horizon(offer, now),
+            forget_at=retention_deadline(offer, now),
             offer=offer,
             owner=owner,
             answer=Answer(offer.request_id, offer.attempt),
@@ -212,9 +213,10 @@
         return record
 
     def start(self, record: RunRecord, now: float) -> bool:
-        """Note that the back end may begin from now on; False if it must not.
+        """Mark a run as started; return False if it must not start.
 
-        To be called with no wait between it and the call of the back end.
+        The caller calls the backend right after this method, without awaiting
+        anything in between.
         """
         current = self.records.get(record.request_id)
         if current is not record or record.state is not RunState.ACCEPTED:
@@ -226,7 +228,7 @@
         return True
 
     def not_started(self, record: RunRecord) -> None:
-        """Note that the back end has certainly not begun after all."""
+        """Record that the backend has certainly not started the run."""
         if record.state is RunState.RUNNING:
             record.execution = Execution.NOT_RUN
 
@@ -236,13 +238,13 @@
         outcome: Outcome,
         reason: RefusalReason | None = None,
     ) -> None:
-        """Close the answer of a run; only the first call has an effect."""
+        """Close the answer of a run; later calls have no effect."""
         if not record.in_progress or record.answer is None:
             return
         record.state = _OUTCOME_STATES[outcome]
         record.answer.end(outcome, reason)
         if record.offer is not None:
-            # A prompt may be megabytes, and the record stays for long.
+            # A prompt may be several megabytes, and the record is kept long.
             record.offer = without_payload(record.offer)
 
     def withdraw(
@@ -252,20 +254,20 @@
         owner: Owner | None,
         now: float,
     ) -> RunReport:
-        """Bar a request unless it has begun, and say what is known of it."""
+        """Prevent a request from starting, unless it has, and report on it."""
         record = self.records.get(request_id)
         if record is None:
             record = RunRecord(
                 request_id=request_id,
                 attempt=attempt,
                 state=RunState.WITHDRAWN,
-                forget_at=now + LONGEST_BUDGET_SECONDS + MAX_PACKET_AGE,
+                forget_at=now + MAX_BUDGET_SECONDS + MAX_PACKET_AGE,
             )
             self.records[request_id] = record
-        elif can_bar(record, owner):
+        elif can_withdraw(record, owner):
             self.end(record, Outcome.CANCELLED, RefusalReason.WITHDRAWN)
             record.state = RunState.WITHDRAWN
-        return report_of(record, attempt)
+        return make_report(record, attempt)
 
     def attach(
         self,
@@ -273,7 +275,7 @@
         owner: Owner,
         after: int,
     ) -> RunReport:
-        """Send the answer to `owner` from now on, from `after` + 1 on."""
+        """Send the answer to `owner`, beginning at sequence `after` + 1."""
         record = self.records.get(request_id)
         if record is None:
             return RunReport(
@@ -285,7 +287,7 @@
         if record.answer is not None:
             record.owner = owner
             record.answer.rewind(after)
-        return report_of(record, record.attempt)
+        return make_report(record, record.attempt)
 
     def acknowledge(
         self,
@@ -293,7 +295,7 @@
         sequence: int,
         owner: Owner,
     ) -> RunRecord | None:
-        """Note what the entry handed on; None if it is not its owner."""
+        """Record forwarded frames; return None if `owner` is not the owner."""
         record = self.records.get(request_id)
         if record is None or record.owner != owner or record.answer is None:
             return None
@@ -307,11 +309,11 @@
         owner: Owner,
         now: float,
     ) -> RunRecord | None:
-        """Give a run up, or bar an id whose offer has not come yet.
+        """Cancel a run, or block an id whose offer has not arrived yet.
 
-        An entry that lost the answer to another one by `Attach` may still
-        believe that its caller has gone; only an operator's word counts from
-        anybody.
+        Only the owner and operators may cancel a run. Another entry may have
+        taken over the answer with `Attach`, while the former owner still
+        assumes that the caller has disconnected.
         """
         record = self.records.get(request_id)
         if record is None:
@@ -335,10 +337,10 @@
         return late
 
     def forget(self, now: float) -> None:
-        """Drop answers out of time, and what no packet can be about."""
+        """Drop answers and records whose retention time has passed."""
         for ended in self.records.values():
-            over = ended.deadline + ANSWER_SECONDS <= now
-            if over and not ended.in_progress:
+            expired = ended.deadline + ANSWER_RETENTION_SECONDS <= now
+            if expired and not ended.in_progress:
                 ended.answer = None
         self.records = {
             request_id: record
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_memory_machine.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_memory_machine.py
@@ -1,4 +1,4 @@
-"""The memory ledger beside an engine, with late reports and lost messages."""
+"""The memory ledger of an engine under late reports and lost messages."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -15,9 +15,9 @@
 
 
 class MemoryMachine(RuleBasedStateMachine):
-    """An engine that begins, ends and frees at any time after it was asked.
+    """An engine that starts, ends and frees runs at any time after the call.
 
-    A restart of the process beside it empties the ledger only.
+    A restart of the endpoint process would empty only the ledger.
     """
 
     def __init__(self) -> None:
@@ -25,10 +25,10 @@
         self.now = 1.0
         self.ledger = MemoryLedger(CAPACITY)
         self.engine: dict[LeaseKey, int] = {}
-        self.asked: tuple[float, dict[LeaseKey, int]] | None = None
+        self.report: tuple[float, dict[LeaseKey, int]] | None = None
 
     @rule(key=KEYS, tokens=st.integers(0, 60), lease=st.floats(0, 30))
-    def take(self, key, tokens, lease) -> None:
+    def acquire(self, key, tokens, lease) -> None:
         if key not in self.ledger.leases:
             self.tick()
             until = self.now + lease
@@ -36,58 +36,58 @@
                 self.engine[key] = tokens
 
     @rule(key=KEYS)
-    def run_ends(self, key) -> None:
+    def end_run(self, key) -> None:
         if key in self.engine:
             self.engine.pop(key)
             self.tick()
             self.ledger.release(key, self.now)
 
     @rule(key=KEYS)
-    def give_up(self, key) -> None:
+    def begin_release(self, key) -> None:
         self.tick()
         self.ledger.give_up(key, self.now)
 
     @rule(key=KEYS)
-    def engine_loses(self, key) -> None:
+    def lose_on_engine(self, key) -> None:
         self.engine.pop(key, None)
 
     @rule()
-    def ask(self) -> None:
+    def request_report(self) -> None:
         self.tick()
-        self.asked = (self.now, dict(self.engine))
+        self.report = (self.now, dict(self.engine))
 
     @rule()
-    def report_comes(self) -> None:
-        if self.asked is None:
+    def apply_report(self) -> None:
+        if self.report is None:
             return
         self.tick()
-        asked_at, usage = self.asked
-        found = self.ledger.reconcile(usage, asked_at, self.now)
-        for key in found.unknown:
+        asked_at, usage = self.report
+        result = self.ledger.reconcile(usage, asked_at, self.now)
+        for key in result.unknown:
             self.engine.pop(key, None)
 
     @rule(pause=st.sampled_from([0.5, 5, 60]))
-    def time_passes(self, pause) -> None:
+    def advance_time(self, pause) -> None:
         self.now += pause
         self.ledger.expire(self.now)
 
     @invariant()
-    def never_over_memory(self) -> None:
+    def leases_fit_capacity(self) -> None:
         assert self.ledger.leased_tokens <= CAPACITY
-        held = sum(
+        used = sum(
             tokens
             for key, tokens in self.engine.items()
             if key in self.ledger.leases
         )
-        assert held <= CAPACITY
+        assert used <= CAPACITY
 
     def teardown(self) -> None:
-        """Give everything up and let one whole round pass: all comes back."""
+        """Release all leases; one full report then frees all memory."""
         for key in tuple(self.ledger.leases):
-            self.give_up(key)
+            self.begin_release(key)
         self.engine.clear()
-        self.ask()
-        self.report_comes()
+        self.request_report()
+        self.apply_report()
         assert self.ledger.free_tokens == CAPACITY
 
     def tick(self) -> None:
@@ -103,11 +103,11 @@
 TestMemoryMachine = MemoryMachine.TestCase
 
 
-def test_report_asked_for_before_a_lease_says_nothing_about_it() -> None:
-    """A report is under way while a run starts.
+def test_report_requested_before_a_lease_does_not_free_it() -> None:
+    """Guard against freeing memory of a run that a report could not name.
 
-    It does not name the run. Taken for fresh, it would free memory that the
-    engine is about to use, and the engine would be overfilled.
+    The report was requested before the run started. If it counted as current,
+    it would free memory that the engine is about to use.
     """
     ledger = MemoryLedger(CAPACITY)
     key = LeaseKey(LeaseKind.RUN, 'a')
@@ -119,13 +119,13 @@
     assert ledger.free_tokens == CAPACITY
 
 
-def test_run_of_an_earlier_process_counts_until_it_is_gone() -> None:
-    """The endpoint process was restarted while a run went on.
+def test_run_of_an_earlier_process_counts_until_it_ends() -> None:
+    """Guard against leasing memory of a run from before a process restart.
 
-    The engine still holds the run. Memory that it uses is not leased again.
+    The engine still executes the run, so its memory must not be leased again.
     """
     ledger = MemoryLedger(CAPACITY)
     key = LeaseKey(LeaseKind.RUN, 'old')
-    found = ledger.reconcile({key: 70}, asked_at=1, now=1)
-    assert found.unknown == (key,)
+    result = ledger.reconcile({key: 70}, asked_at=1, now=1)
+    assert result.unknown == (key,)
     assert ledger.free_tokens == CAPACITY - 70
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_run_machine.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_run_machine.py
@@ -1,4 +1,4 @@
-"""The run ledger under messages that are lost, doubled, late and reordered."""
+"""The run ledger under lost, duplicated, late and reordered messages."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -16,10 +16,10 @@
 
 
 class RunMachine(RuleBasedStateMachine):
-    """Any order of messages, as lost ones are just not drawn.
+    """Messages in any order; a lost message is one that is not drawn.
 
-    `starts` counts the calls of the back end; `told` holds the ids of which
-    somebody was told that they were not run, with the number of calls then.
+    `starts` counts the calls of the backend per id. `reported_not_run` maps
+    the ids that were reported as not run to the time of the report.
     """
 
     def __init__(self) -> None:
@@ -27,16 +27,16 @@
         self.ledger = RunLedger()
         self.now = 1.0
         self.starts: dict[str, int] = {}
-        self.told: dict[str, float] = {}
+        self.reported_not_run: dict[str, float] = {}
         self.tasks: list[RunRecord] = []
 
-    @rule(name=NAMES, attempt=ATTEMPTS, owner=OWNERS, room=st.booleans())
-    def offer(self, name, attempt, owner, room) -> None:
+    @rule(name=NAMES, attempt=ATTEMPTS, owner=OWNERS, has_memory=st.booleans())
+    def offer(self, name, attempt, owner, has_memory) -> None:
         offer = make_offer(name, attempt)
         if self.ledger.answer_again(offer, owner) is not None:
             return
         refused = self.ledger.refusal(offer, owner, self.now)
-        if refused is None and room:
+        if refused is None and has_memory:
             record = self.ledger.admit(offer, owner, self.now + 10, self.now)
             self.tasks.append(record)
         elif refused is None:
@@ -54,7 +54,7 @@
         report = self.ledger.withdraw(name, attempt, owner, self.now)
         if report.execution is _NOT_RUN:
             assert not self.ran(name)
-            self.told[name] = self.now
+            self.reported_not_run[name] = self.now
 
     @rule(name=NAMES, owner=OWNERS)
     def attach(self, name, owner) -> None:
@@ -67,28 +67,28 @@
         self.ledger.cancel(name, 'caller_gone', owner, self.now)
 
     @rule(number=st.integers(0, 5))
-    def task_wakes(self, number) -> None:
+    def start_task(self, number) -> None:
         if number >= len(self.tasks):
             return
         record = self.tasks[number]
         if self.ledger.start(record, self.now):
             name = record.request_id
             self.starts[name] = self.starts.get(name, 0) + 1
-            assert name not in self.told
+            assert name not in self.reported_not_run
 
     @rule(number=st.integers(0, 5), outcome=st.sampled_from(list(Outcome)))
-    def task_ends(self, number, outcome) -> None:
+    def end_task(self, number, outcome) -> None:
         if number < len(self.tasks):
             self.ledger.end(self.tasks[number], outcome)
 
     @rule(pause=st.sampled_from([0.1, 5, MAX_PACKET_AGE, 200]))
-    def time_passes(self, pause) -> None:
+    def advance_time(self, pause) -> None:
         self.now += pause
         self.ledger.overdue(self.now)
         self.ledger.forget(self.now)
 
     @invariant()
-    def at_most_once(self) -> None:
+    def runs_at_most_once(self) -> None:
         assert all(count == 1 for count in self.starts.values())
 
     def ran(self, name: str) -> bool:
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_runs.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_runs.py
@@ -1,4 +1,4 @@
-"""Rules of the run ledger, one by one."""
+"""Tests of the individual rules of the run ledger."""
 
 from sycamore_core.ids import Attempt
 from sycamore_core.states import (
@@ -10,19 +10,19 @@
 )
 
 from ..answers import WINDOW_FRAMES, Answer
-from ..runs import ANSWER_SECONDS, RESERVATION_SECONDS, RunLedger
+from ..runs import ANSWER_RETENTION_SECONDS, RESERVATION_SECONDS, RunLedger
 from .builders import FIRST, SECOND, make_offer
 
 
-def admitted(ledger: RunLedger, **changes: object):
+def admit_offer(ledger: RunLedger, **changes: object):
     return ledger.admit(make_offer(**changes), FIRST, deadline=10, now=0)
 
 
 def test_withdrawn_offer_that_arrives_late_does_not_start() -> None:
-    """An offer is overtaken by its withdrawal.
+    """Guard against running a late offer that was reported as not run.
 
-    The caller was told that its deposit was not run. If the late offer were
-    accepted, the family would be charged for a deposit it sends again.
+    The withdrawal overtook the offer, and the caller resends its deposit. If
+    the late offer were accepted too, the deposit would be charged twice.
     """
     ledger = RunLedger()
     report = ledger.withdraw('r', Attempt(1), FIRST, now=0)
@@ -33,10 +33,10 @@
 
 
 def test_second_copy_of_a_declined_offer_is_declined() -> None:
-    """An offer was sent twice, and memory came back in between.
+    """Guard against running a duplicate of a declined offer.
 
-    The entry ran the request elsewhere after the first answer. The second
-    copy must not run it here as well.
+    Memory was freed between the two copies. After the first answer the entry
+    ran the request elsewhere, so the second copy must not run it here.
     """
     ledger = RunLedger()
     ledger.decline(make_offer(), FIRST, RefusalReason.MEMORY_FULL, now=0)
@@ -47,39 +47,40 @@
 
 
 def test_run_that_began_is_not_reported_as_not_run() -> None:
-    """A withdrawal meets a run that has begun.
+    """Guard against reporting a started run as not run on its withdrawal.
 
-    The caller would send the deposit again if it heard "not run".
+    The caller would resend the deposit.
     """
     ledger = RunLedger()
-    record = admitted(ledger)
+    record = admit_offer(ledger)
     assert ledger.start(record, now=1)
     report = ledger.withdraw('r', Attempt(1), FIRST, now=2)
     assert report.state is RunState.RUNNING
     assert report.execution is Execution.RAN
 
 
-def test_withdrawal_before_the_start_bars_the_start() -> None:
-    """The reply to an offer is lost and the entry withdraws it.
+def test_withdrawn_run_does_not_start() -> None:
+    """Guard against starting a run after its withdrawal.
 
-    The task of the run wakes after that and must not call the back end.
+    The reply to the offer is lost and the entry withdraws it. The task of the
+    run resumes after that and must not call the backend.
     """
     ledger = RunLedger()
-    record = admitted(ledger)
+    record = admit_offer(ledger)
     report = ledger.withdraw('r', Attempt(1), FIRST, now=1)
     assert report.execution is Execution.NOT_RUN
     assert not ledger.start(record, now=1)
 
 
 def test_answer_moves_to_the_entry_that_attaches() -> None:
-    """An entry dies in the middle of an answer.
+    """Guard against a former owner cancelling a run that moved.
 
-    The guest comes back through another entry and reads on where the first
-    stopped. The first wakes up and wants to cancel; that is ignored, or the
-    guest would lose the answer a second time.
+    An entry fails during an answer and the caller continues through another
+    entry. When the first entry resumes and cancels, the caller must not lose
+    the answer a second time.
     """
     ledger = RunLedger()
-    record = admitted(ledger)
+    record = admit_offer(ledger)
     ledger.start(record, now=1)
     for _ in range(3):
         record.answer.add(b'x', tokens=1)
@@ -92,10 +93,10 @@
     assert record.in_progress
 
 
-def test_failed_run_may_be_tried_again_only_if_idempotent() -> None:
+def test_failed_run_may_be_retried_only_if_idempotent() -> None:
     for idempotent in (True, False):
         ledger = RunLedger()
-        record = admitted(ledger, idempotent=idempotent)
+        record = admit_offer(ledger, idempotent=idempotent)
         ledger.start(record, now=1)
         ledger.end(record, Outcome.FAILED)
         again = make_offer(attempt=2, idempotent=idempotent)
@@ -103,8 +104,8 @@
         assert (refused is None) == idempotent
 
 
-def test_reservation_runs_out() -> None:
-    """A caller reserves an id and sends its request minutes later."""
+def test_reservation_expires() -> None:
+    """Guard against running a request after its reservation expired."""
     ledger = RunLedger()
     ledger.reserve('r', now=0)
     late = make_offer(bound=True)
@@ -114,10 +115,10 @@
     assert refused.execution is Execution.NOT_RUN
 
 
-def test_forgotten_reservation_is_not_called_not_run() -> None:
-    """A bound id comes back after all memory of it is gone.
+def test_dropped_reservation_is_not_reported_as_not_run() -> None:
+    """Guard against reporting an unknown bound id as not run.
 
-    It may have run, so nobody may be told that it did not.
+    The ledger has dropped the id, and its request may have run.
     """
     refused = RunLedger().refusal(make_offer(bound=True), FIRST, now=0)
     assert refused is not None
@@ -125,27 +126,28 @@
 
 
 def test_ended_run_keeps_no_prompt_and_later_no_answer() -> None:
-    """Deposits are remembered for an hour, so that none runs twice.
+    """Guard against keeping prompts and answers as long as their records.
 
-    If their prompts and answers stayed as long, the process would grow until
-    the instance has no memory left. A late repetition is told that it ran.
+    Records of deposits are kept for an hour, so that none runs twice. With
+    their prompts and answers the process would exhaust the memory of the
+    instance. A late repetition is still reported as run.
     """
     ledger = RunLedger()
-    record = admitted(ledger, payload=b'p' * 100)
+    record = admit_offer(ledger, payload=b'p' * 100)
     ledger.start(record, now=1)
     ledger.end(record, Outcome.COMPLETE)
     assert not record.offer.payload
-    ledger.forget(now=10 + ANSWER_SECONDS)
+    ledger.forget(now=10 + ANSWER_RETENTION_SECONDS)
     assert record.answer is None
     refused = ledger.refusal(make_offer(), FIRST, now=60)
     assert refused is not None
     assert refused.execution is Execution.RAN
 
 
-def test_slow_caller_stops_the_reading() -> None:
-    """A guest on a poor line takes the answer slowly.
+def test_slow_caller_pauses_reading_from_the_engine() -> None:
+    """Guard against unbounded buffering for a caller on a slow connection.
 
-    No more than a window is posted, and the engine is not read meanwhile.
+    At most one window of frames is posted, and no more is read meanwhile.
     """
     answer = Answer('r', Attempt(1))
     for _ in range(WINDOW_FRAMES):
