--- a/packages/sycamore-endpoint/src/sycamore_endpoint/orders/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/orders/__init__.py
@@ -1,23 +1,23 @@
-"""Orders to the engine, and how an old process is kept from giving one."""
+"""Orders to the engine, fenced against outdated processes."""
 
-from .keeper import OrderKeeper
 from .plan import (
-    ORDER_SECONDS,
+    ORDER_TIMEOUT_SECONDS,
     EngineState,
     Order,
     OrderFacts,
     fencing_number,
+    load_delay,
     next_order,
-    turn_of,
 )
+from .reconciler import OrderKeeper
 
 __all__ = (
-    'ORDER_SECONDS',
+    'ORDER_TIMEOUT_SECONDS',
     'EngineState',
     'Order',
     'OrderFacts',
     'OrderKeeper',
     'fencing_number',
+    'load_delay',
     'next_order',
-    'turn_of',
 )
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/orders/plan.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/orders/plan.py
@@ -1,10 +1,11 @@
-"""Which order an engine is to get now, if any.
+"""Decision on the next order to an engine, if any.
 
 Load pattern: a new settings version names another model for a service of many
-engines, while processes restart, sleep, and hold older settings.
+engines, while processes restart, are suspended, or have older settings.
 
-Without it: a process that slept through a change wakes and moves its engine
-back, and all engines of a service load from the weight store at once.
+Without this decision, a process that was suspended during a change would
+switch its engine back to the old model, and all engines of a service would
+load from the weight store at the same time.
 """
 
 from collections.abc import Iterable
@@ -13,19 +14,20 @@
 from sycamore_core.ids import EndpointId, FencingNumber, Incarnation, ModelId
 from sycamore_core.states import OrderKind
 
-#: Longest time that an order may take, in seconds; the call is given up after
-#: it. An engine that ignores fencing gets no order before that time has
-#: passed since our start or a pause, so that the order of an earlier process
-#: has taken effect by then and is seen in the engine's state.
-ORDER_SECONDS = 60.0
-#: Bits of the start time in a fencing number: whole seconds until 2514. With
-#: a settings version of up to 29 bits it fits a signed 64-bit number.
+#: Timeout of an order, in seconds. An engine that ignores fencing gets no order
+#: until this time has passed since the start or a suspension of this process.
+#: An order of an earlier process has taken effect by then and shows in the
+#: engine's state.
+ORDER_TIMEOUT_SECONDS = 60.0
+#: Bits of the start time in a fencing number, enough for whole seconds until
+#: 2514. With a settings version of up to 29 bits, the fencing number fits in a
+#: signed 64-bit integer.
 _START_BITS = 34
 _NANOSECONDS = 1_000_000_000
 
 
 class LoadedModel(msgspec.Struct, frozen=True):
-    """A model that the engine holds."""
+    """A model that the engine has loaded."""
 
     model: str
     version: str | int = ''
@@ -48,22 +50,23 @@
 
 
 class OrderFacts(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known when an order is considered.
+    """Input of the decision on the next order.
 
     Attributes
     ----------
     state
-        The engine's state, read after the last pause of this process.
+        State of the engine, read after the last suspension of this process.
     wanted
-        Model that the settings in force name; empty if none.
+        Model that the current settings name; empty if none.
     fencing
         Fencing number of this process under these settings.
     checks_fencing
-        Whether the engine refuses an order with an older number.
+        Whether the engine refuses an order with a lower number.
     awake_for
-        Time since the start or the last pause of this process, in seconds.
+        Time since the start or the last suspension of this process, in
+        seconds.
     turn_in
-        Time until this endpoint's turn at the weight store, in seconds.
+        Time until this endpoint may load from the weight store, in seconds.
     """
 
     state: EngineState
@@ -75,10 +78,11 @@
 
 
 def fencing_number(version: int, incarnation: Incarnation) -> FencingNumber:
-    """Return a number that grows over processes without any storage.
+    """Return a number that increases across processes without any storage.
 
-    A newer settings version counts first, so that a process with older
-    settings never gets past one with newer ones, whichever started later.
+    The settings version takes precedence over the start time. A process with
+    older settings thus never supersedes one with newer settings, whichever
+    started later.
 
     Examples
     --------
@@ -93,35 +97,36 @@
 
 
 def next_order(facts: OrderFacts) -> Order | None:
-    """Return the order to give now, or None."""
+    """Return the order to send now, or None."""
     loaded = {model.model for model in facts.state.models}
     if not facts.wanted or facts.wanted in loaded:
         return None
     if facts.state.busy or facts.state.fencing > facts.fencing:
-        # Another process has given an order with a higher number: it holds
-        # newer settings, or has replaced this one.
+        # A higher number comes from another process that has newer settings
+        # or has replaced this process.
         return None
-    if not facts.checks_fencing and facts.awake_for < ORDER_SECONDS:
+    if not facts.checks_fencing and facts.awake_for < ORDER_TIMEOUT_SECONDS:
         return None
     if facts.turn_in > 0:
         return None
     return Order(facts.fencing, OrderKind.LOAD_MODEL, facts.wanted)
 
 
-def turn_of(
+def load_delay(
     endpoint: EndpointId,
     sharing: Iterable[EndpointId],
     load_seconds: float,
 ) -> float:
-    """Return how long after a new version an endpoint may load, in seconds.
+    """Return the delay after a new version before an endpoint may load.
 
     The endpoints that share the weight store load one after the other, in
-    the order of their names, each for the time that one load takes at the
-    store's whole rate. They need no lock for that, only the same settings.
+    the order of their names. Each gets the time that one load takes at the
+    full rate of the store. This needs no lock, only the same settings. The
+    delay is in seconds.
 
     Examples
     --------
-    >>> turn_of(EndpointId('b'), ['c', 'a', 'b'], 4)
+    >>> load_delay(EndpointId('b'), ['c', 'a', 'b'], 4)
     4
     """
     earlier = [name for name in sharing if name < endpoint]
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/orders/keeper.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/orders/reconciler.py
@@ -1,4 +1,4 @@
-"""Gives the engine its orders, one at a time; one task."""
+"""Task that sends the engine its orders, one at a time."""
 
 import asyncio
 
@@ -11,19 +11,20 @@
 from ..fleet import OwnSettings
 from ..state import EndpointState
 from .plan import (
-    ORDER_SECONDS,
+    ORDER_TIMEOUT_SECONDS,
     EngineState,
     Order,
     OrderFacts,
     fencing_number,
+    load_delay,
     next_order,
-    turn_of,
 )
 
-#: How often the engine's state is compared with the settings, in seconds.
-LOOK_SECONDS = 1.0
-#: A longer gap between two looks was a pause of this process, in seconds.
-PAUSE_SECONDS = 5.0
+#: Interval between comparisons of the engine with the settings, in seconds.
+CHECK_INTERVAL_SECONDS = 1.0
+#: Gap between two comparisons above which this process was suspended, in
+#: seconds.
+MIN_PAUSE_SECONDS = 5.0
 
 
 class WeightRate(msgspec.Struct, frozen=True):
@@ -34,23 +35,23 @@
 
     @property
     def load_seconds(self) -> float:
-        """Time of one load at the whole rate, in seconds."""
+        """Time of one load at the full rate of the store, in seconds."""
         if self.bytes_per_second <= 0:
             return 0
         return self.load_bytes / self.bytes_per_second
 
 
 class OrderAnswer(msgspec.Struct, frozen=True):
-    """Answer to ``POST /v1/orders``; nothing in it is used."""
+    """Answer to ``POST /v1/orders``; its content is not used."""
 
 
 class OrderKeeper:
-    """Makes the engine hold the model that the settings name.
+    """Make the engine load the model that the settings name.
 
     Parameters
     ----------
     weights
-        The weight store's client; None if the settings name no store.
+        Client of the weight store; None if the settings name no store.
     """
 
     def __init__(
@@ -67,21 +68,21 @@
         self.checks_fencing = checks_fencing
         self.log = Log('endpoint.orders')
         self.awake_since = state.clock.monotonic()
-        self.looked_at = self.awake_since
+        self.checked_at = self.awake_since
         self.version = -1
         self.version_since = self.awake_since
 
     async def run(self) -> None:
-        """Compare and order until cancelled."""
+        """Compare and send orders until cancelled."""
         while True:
             try:
-                await self.look()
+                await self.check_once()
             except BackendError as error:
                 self.log.warning('order_failed', error=str(error))
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    async def look(self) -> None:
-        """Compare once, and give at most one order.
+    async def check_once(self) -> None:
+        """Compare once and send at most one order.
 
         Raises
         ------
@@ -91,28 +92,28 @@
         own = self.state.own
         if own is None or not own.service.model:
             return
-        self._note_time(own)
+        self._update_times(own)
         load_seconds = await self._load_seconds()
         state = await self.control.read('/v1/state', EngineState)
-        if self._has_slept():
+        if self._detect_pause():
             return
         order = next_order(self._facts(own, state, load_seconds))
         if order is not None:
-            await self._give(order)
+            await self._send_order(order)
 
-    def _note_time(self, own: OwnSettings) -> None:
-        self._has_slept()
+    def _update_times(self, own: OwnSettings) -> None:
+        self._detect_pause()
         if own.fleet.version != self.version:
             self.version = own.fleet.version
             self.version_since = self.state.clock.monotonic()
 
-    def _has_slept(self) -> bool:
+    def _detect_pause(self) -> bool:
         now = self.state.clock.monotonic()
-        slept = now - self.looked_at > PAUSE_SECONDS
-        if slept:
+        was_paused = now - self.checked_at > MIN_PAUSE_SECONDS
+        if was_paused:
             self.awake_since = now
-        self.looked_at = now
-        return slept
+        self.checked_at = now
+        return was_paused
 
     async def _load_seconds(self) -> float:
         if self.weights is None:
@@ -129,33 +130,33 @@
         now = self.state.clock.monotonic()
         fleet = own.fleet
         sharing = [
-            entry.endpoint
-            for entry in fleet.endpoints.values()
-            if entry.capacity_tokens
+            endpoint.endpoint
+            for endpoint in fleet.endpoints.values()
+            if endpoint.capacity_tokens
         ]
-        turn = turn_of(self.state.name, sharing, load_seconds)
+        delay = load_delay(self.state.name, sharing, load_seconds)
         return OrderFacts(
             state=state,
             wanted=own.service.model,
             fencing=self._fencing(own),
             checks_fencing=self.checks_fencing,
             awake_for=now - self.awake_since,
-            turn_in=self.version_since + turn - now,
+            turn_in=self.version_since + delay - now,
         )
 
     def _fencing(self, own: OwnSettings) -> FencingNumber:
         return fencing_number(own.fleet.version, self.state.incarnation)
 
-    async def _give(self, order: Order) -> None:
+    async def _send_order(self, order: Order) -> None:
         self.log.info('order', model=order.model, fencing=order.fencing)
         try:
             await self.control.send(
                 '/v1/orders',
                 order,
                 OrderAnswer,
-                ORDER_SECONDS,
+                ORDER_TIMEOUT_SECONDS,
             )
         except RefusedError as error:
             self.log.warning('order_refused', status=error.status)
-        # The order may have taken long; that was no pause of this process.
-        self.looked_at = self.state.clock.monotonic()
+        # The order may take long; that time is no suspension of this process.
+        self.checked_at = self.state.clock.monotonic()
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/orders/tests/test_plan.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/orders/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Orders of processes that restart, sleep, or hold older settings."""
+"""Orders of processes that restart, are suspended or have older settings."""
 
 import msgspec
 from hypothesis import settings
@@ -7,7 +7,7 @@
 from sycamore_core.ids import FencingNumber, Incarnation, ModelId
 
 from ..plan import (
-    ORDER_SECONDS,
+    ORDER_TIMEOUT_SECONDS,
     EngineState,
     LoadedModel,
     OrderFacts,
@@ -37,32 +37,36 @@
 
 
 def test_process_with_older_settings_gives_no_order() -> None:
-    """A process wakes that slept through a change of the model.
+    """Guard against a resumed process switching its engine back.
 
-    Its engine has an order with a higher number. It must not move it back,
-    or guests would get answers of a model that was withdrawn.
+    The process was suspended during a change of the model. Its engine has an
+    order with a higher number. Switching back would give callers answers of
+    a withdrawn model.
     """
     state = EngineState(fencing=6)
     assert next_order(make_facts(state=state)) is None
 
 
-def test_engine_that_ignores_fencing_is_left_alone_at_first() -> None:
-    """A process starts while an order of its predecessor is under way."""
-    early = make_facts(checks_fencing=False, awake_for=ORDER_SECONDS - 1)
+def test_engine_that_ignores_fencing_gets_no_order_at_first() -> None:
+    """Guard against overlapping an order of the previous process."""
+    early = make_facts(
+        checks_fencing=False, awake_for=ORDER_TIMEOUT_SECONDS - 1
+    )
     assert next_order(early) is None
-    late = make_facts(checks_fencing=False, awake_for=ORDER_SECONDS)
+    late = make_facts(checks_fencing=False, awake_for=ORDER_TIMEOUT_SECONDS)
     assert next_order(late) is not None
 
 
-def test_weight_store_is_not_stormed() -> None:
-    """A new version names another model for twenty engines at once."""
+def test_endpoint_waits_for_its_turn_at_the_weight_store() -> None:
+    """Guard against many engines loading a new model at the same time."""
     assert next_order(make_facts(turn_in=1)) is None
 
 
 class OrderMachine(RuleBasedStateMachine):
-    """Two processes of one checking engine, each with its own settings.
+    """Two processes of one engine that checks fencing.
 
-    An order may reach the engine long after it was decided on.
+    Each process has its own settings. An order may reach the engine long
+    after the decision.
     """
 
     def __init__(self) -> None:
@@ -71,16 +75,16 @@
         self.newest = 0
         self.processes = [(1, 0), (1, 0)]
         self.started = 0
-        self.under_way: list[object] = []
+        self.in_flight: list[object] = []
 
-    @rule(which=st.integers(0, 1), version=st.integers(1, 4))
-    def restart(self, which, version) -> None:
+    @rule(index=st.integers(0, 1), version=st.integers(1, 4))
+    def restart(self, index, version) -> None:
         self.started += 1
-        self.processes[which] = (version, self.started)
+        self.processes[index] = (version, self.started)
 
-    @rule(which=st.integers(0, 1))
-    def decide(self, which) -> None:
-        version, started = self.processes[which]
+    @rule(index=st.integers(0, 1))
+    def decide(self, index) -> None:
+        version, started = self.processes[index]
         start = Incarnation(START_NS + started * SECOND_NS)
         facts = make_facts(
             state=self.engine,
@@ -89,13 +93,13 @@
         )
         order = next_order(facts)
         if order is not None:
-            self.under_way.append((version, order))
+            self.in_flight.append((version, order))
 
     @rule(number=st.integers(0, 3))
     def arrive(self, number) -> None:
-        if number >= len(self.under_way):
+        if number >= len(self.in_flight):
             return
-        version, order = self.under_way[number]
+        version, order = self.in_flight[number]
         if order.fencing < self.engine.fencing:
             return
         assert version >= self.newest
@@ -106,7 +110,7 @@
         )
 
     @invariant()
-    def engine_never_goes_back(self) -> None:
+    def engine_never_reverts(self) -> None:
         models = self.engine.models
         assert not models or models[0].model == f'm{self.newest}'
 
