--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/__init__.py
@@ -1,7 +1,7 @@
-"""Prompts beyond one engine: the leader and the members of a group."""
+"""Groups of engines that serve prompts too long for one engine."""
 
 from .backend import GroupBackend
-from .desk import GroupDesk
+from .dispatcher import GroupDesk
 from .leader import GroupRun, Groups
 from .member import GroupMemberDesk
 from .spans import divide
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/backend.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/backend.py
@@ -1,4 +1,4 @@
-"""An engine that serves prompts beyond its memory with the help of others."""
+"""Backend for prompts that need the memory of several engines."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -16,7 +16,7 @@
 
 
 class GroupBackend(Backend):
-    """Prepares the spans of a long prompt at the members, then generates."""
+    """Prepare the spans of a long prompt at the members, then generate."""
 
     def __init__(
         self,
@@ -41,35 +41,37 @@
         if not offer.members:
             async with aclosing(
                 self.engine.pieces(offer, gate, seconds),
-            ) as alone:
-                async for piece in alone:
+            ) as own_pieces:
+                async for piece in own_pieces:
                     yield piece
             return
-        async with aclosing(self._together(offer, gate, seconds)) as together:
-            async for piece in together:
+        async with aclosing(
+            self._run_group(offer, gate, seconds)
+        ) as group_pieces:
+            async for piece in group_pieces:
                 yield piece
 
     async def cancel(self, request_id: RequestId) -> bool:
-        """Give a run up at the own engine."""
+        """Cancel a run at the own engine."""
         return await self.engine.cancel(request_id)
 
-    async def _together(
+    async def _run_group(
         self,
         offer: Offer,
         gate: StartGate,
         seconds: float,
     ) -> AsyncIterator[Piece]:
-        group = self._begin(offer)
-        keeping: asyncio.Task[None] | None = None
+        group = self._start_group(offer)
+        renewal: asyncio.Task[None] | None = None
         try:
             handle = await group.prepare()
-            keeping = asyncio.create_task(group.keep())
+            renewal = asyncio.create_task(group.renew_leases())
             async for piece in self._generate(group, gate, seconds, handle):
                 yield piece
         finally:
-            if keeping is not None:
-                keeping.cancel()
-            self._end(group)
+            if renewal is not None:
+                renewal.cancel()
+            self._end_group(group)
 
     async def _generate(
         self,
@@ -78,30 +80,30 @@
         seconds: float,
         handle: str,
     ) -> AsyncIterator[Piece]:
-        group.check()
+        group.check_leases()
         generating = self.engine.pieces(group.offer, gate, seconds, handle)
         async with aclosing(generating) as pieces:
             async for piece in pieces:
-                group.check()
+                group.check_leases()
                 yield piece
 
-    def _begin(self, offer: Offer) -> GroupRun:
+    def _start_group(self, offer: Offer) -> GroupRun:
         own = self.state.own
         if own is None:
-            raise GroupUnavailableError('no settings')
+            raise GroupUnavailableError('no settings are loaded')
         spans = divide(offer, own.fleet, own.endpoint)
         if not spans:
             raise GroupUnavailableError('a member is not in the settings')
         endpoints = own.fleet.endpoints
         self.groups.addresses = {
-            entry.address: name for name, entry in endpoints.items()
+            endpoint.address: name for name, endpoint in endpoints.items()
         }
         group = GroupRun(offer, spans, self.state.clock, self._post)
-        self.groups.runs[group.group] = group
+        self.groups.runs[group.group_id] = group
         return group
 
-    def _end(self, group: GroupRun) -> None:
-        self.groups.runs.pop(group.group, None)
+    def _end_group(self, group: GroupRun) -> None:
+        self.groups.runs.pop(group.group_id, None)
         task = asyncio.create_task(group.release())
         self._releases.add(task)
         task.add_done_callback(self._releases.discard)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/desk.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/dispatcher.py
@@ -1,4 +1,4 @@
-"""Messages of groups, to both sides of them."""
+"""Dispatch of group messages to the leader and the member side."""
 
 import functools
 
@@ -18,7 +18,7 @@
 
 
 class GroupDesk:
-    """Hands each message to the side that it is for."""
+    """Pass each message to the side that handles it."""
 
     def __init__(self, leader: Groups, member: GroupMemberDesk) -> None:
         self.leader = leader
@@ -26,34 +26,34 @@
 
     @functools.singledispatchmethod
     def handle(self, message: Message, peer: Peer) -> None:
-        """Handle one message; what is not of groups is left alone."""
+        """Handle one message; messages not about groups are ignored."""
 
     @handle.register
-    def take_reserve(self, message: GroupReserve, peer: Peer) -> None:
+    def handle_reserve(self, message: GroupReserve, peer: Peer) -> None:
         """Lease memory to a group."""
         self.member.reserve(message, peer)
 
     @handle.register
-    def take_renew(self, message: GroupRenew, peer: Peer) -> None:
-        """Keep the leases of a group."""
+    def handle_renew(self, message: GroupRenew, peer: Peer) -> None:
+        """Renew the leases of a group."""
         self.member.renew(message, peer)
 
     @handle.register
-    def take_release(self, message: GroupRelease, peer: Peer) -> None:
-        """Give the memory of a group back."""
+    def handle_release(self, message: GroupRelease, peer: Peer) -> None:
+        """Release the memory of a group."""
         self.member.release(message)
 
     @handle.register
-    def take_span(self, message: SpanRun, peer: Peer) -> None:
+    def handle_span(self, message: SpanRun, peer: Peer) -> None:
         """Compute a span."""
         self.member.run(message, peer)
 
     @handle.register
-    def take_answer(self, message: GroupAnswer, peer: Peer) -> None:
-        """Hand an answer to the group that it is for."""
-        self.leader.take_answer(peer.address, message)
+    def handle_answer(self, message: GroupAnswer, peer: Peer) -> None:
+        """Pass an answer to its group."""
+        self.leader.handle_answer(peer.address, message)
 
     @handle.register
-    def take_done(self, message: SpanDone, peer: Peer) -> None:
-        """Hand on that a span is computed."""
-        self.leader.take_done(message)
+    def handle_done(self, message: SpanDone, peer: Peer) -> None:
+        """Pass the result of a span to its group."""
+        self.leader.handle_done(message)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/leader.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/leader.py
@@ -1,4 +1,4 @@
-"""The leader's side of a group: reserve everywhere, then span after span."""
+"""Leader side of a group: reserve all members, then compute the spans."""
 
 import asyncio
 from collections.abc import Callable, Mapping, Sequence
@@ -24,18 +24,18 @@
 
 from ..errors import GroupUnavailableError
 
-#: Interval at which an unanswered `SpanRun` is sent again, in seconds. It
-#: carries part of the prompt, so not more often; a member answers a repeated
-#: one without computing it again.
+#: Interval at which an unanswered `SpanRun` is sent again, in seconds. The
+#: interval is long because the message carries a part of the prompt. A member
+#: answers a repeated message without computing the span again.
 SPAN_RESEND_SECONDS = 5.0
-#: Longest wait between two looks at the reservation, in seconds.
-LOOK_SECONDS = 0.5
+#: Longest wait between two checks of the reservation, in seconds.
+MAX_WAIT_SECONDS = 0.5
 
 Post = Callable[[EndpointId, Message], None]
 
 
 class GroupRun:
-    """One group, led from here."""
+    """One group that this endpoint leads."""
 
     def __init__(
         self,
@@ -48,26 +48,26 @@
         self.spans = spans
         self.clock = clock
         self.post = post
-        self.group = GroupId(f'{offer.request_id}.{offer.attempt}')
+        self.group_id = GroupId(f'{offer.request_id}.{offer.attempt}')
         self.reservation = GroupReservation.from_spans(
-            self.group,
+            self.group_id,
             offer.request_id,
             spans[:-1],
             clock.monotonic(),
         )
         self.done: dict[int, SpanDone] = {}
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
 
-    def take_answer(self, endpoint: EndpointId, answer: GroupAnswer) -> None:
-        """Take a member's answer about its lease."""
+    def handle_answer(self, endpoint: EndpointId, answer: GroupAnswer) -> None:
+        """Apply a member's answer about its lease."""
         now = self.clock.monotonic()
         self.reservation.take_answer(endpoint, answer, now)
-        self.news.set()
+        self.changed.set()
 
-    def take_done(self, done: SpanDone) -> None:
-        """Take a member's word that its span is computed or has failed."""
+    def handle_done(self, done: SpanDone) -> None:
+        """Record that a member has computed its span or has failed."""
         self.done[done.span] = done
-        self.news.set()
+        self.changed.set()
 
     async def prepare(self) -> str:
         """Compute all spans but the last; return the handle to import.
@@ -75,49 +75,50 @@
         Raises
         ------
         GroupUnavailableError
-            If a member has no room, is silent, or failed.
+            If a member has too little memory, does not answer, or failed.
         """
         while self.reservation.state is ReservationState.RESERVING:
-            await self._look()
+            await self._send_and_wait()
         handle, source = '', ''
         for number, span in enumerate(self.spans[:-1]):
-            done = await self._compute(number, span, handle, source)
+            done = await self._compute_span(number, span, handle, source)
             handle, source = done.handle, done.source
         return handle
 
-    async def keep(self) -> None:
+    async def renew_leases(self) -> None:
         """Renew the leases until cancelled."""
         while True:
-            await self._look()
+            await self._send_and_wait()
 
-    def check(self) -> None:
-        """Check that the leases of all members are in force.
+    def check_leases(self) -> None:
+        """Check that the leases of all members are valid.
 
         Raises
         ------
         GroupUnavailableError
-            If one was lost, so that its part of the KV cache may be gone.
+            If a lease was lost, since that member's part of the KV cache may
+            be lost too.
         """
         if not self.reservation.is_held(self.clock.monotonic()):
             failure = self.reservation.failure
-            raise GroupUnavailableError(f'group lost: {failure}')
+            raise GroupUnavailableError(f'group lease lost: {failure}')
 
     async def release(self) -> None:
-        """Give the memory of all members back."""
+        """Release the memory of all members."""
         self.reservation.release(self.clock.monotonic())
         for _ in range(RELEASE_SENDS):
             self._send_due()
             await asyncio.sleep(RESEND_SECONDS)
 
-    async def _compute(
+    async def _compute_span(
         self,
         number: int,
         span: Span,
         handle: str,
         source: str,
     ) -> SpanDone:
-        wanted = SpanRun(
-            group=self.group,
+        message = SpanRun(
+            group=self.group_id,
             span=number,
             payload=self._payload(span),
             tokens=span.tokens,
@@ -127,24 +128,24 @@
         )
         send_at = self.clock.monotonic()
         while number not in self.done:
-            self.check()
+            self.check_leases()
             if send_at <= self.clock.monotonic():
-                self.post(span.endpoint, wanted)
+                self.post(span.endpoint, message)
                 send_at += SPAN_RESEND_SECONDS
-            await self._look()
+            await self._send_and_wait()
         done = self.done[number]
         if done.failed:
             raise GroupUnavailableError(f'span {number} failed')
         return done
 
-    async def _look(self) -> None:
-        self.news.clear()
+    async def _send_and_wait(self) -> None:
+        self.changed.clear()
         self._send_due()
         now = self.clock.monotonic()
-        wait = min(self.reservation.next_wake(now) - now, LOOK_SECONDS)
+        wait = min(self.reservation.next_wake(now) - now, MAX_WAIT_SECONDS)
         try:
             async with asyncio.timeout(wait):
-                await self.news.wait()
+                await self.changed.wait()
         except TimeoutError:
             return
 
@@ -155,9 +156,9 @@
     def _payload(self, span: Span) -> bytes:
         payload = self.offer.payload
         total = max(self.offer.prompt_tokens, 1)
-        begin = len(payload) * span.first_token // total
+        start = len(payload) * span.first_token // total
         end = len(payload) * (span.first_token + span.tokens) // total
-        return payload[begin:end]
+        return payload[start:end]
 
 
 class Groups:
@@ -167,15 +168,15 @@
         self.runs: dict[GroupId, GroupRun] = {}
         self.addresses: Mapping[str, EndpointId] = {}
 
-    def take_answer(self, address: str, answer: GroupAnswer) -> None:
-        """Hand an answer to its group; a late one is left alone."""
+    def handle_answer(self, address: str, answer: GroupAnswer) -> None:
+        """Pass an answer to its group; ignore late answers."""
         run = self.runs.get(answer.group)
         endpoint = self.addresses.get(address)
         if run is not None and endpoint is not None:
-            run.take_answer(endpoint, answer)
+            run.handle_answer(endpoint, answer)
 
-    def take_done(self, done: SpanDone) -> None:
-        """Hand on that a span is computed; a late word is left alone."""
+    def handle_done(self, done: SpanDone) -> None:
+        """Pass the result of a span to its group; ignore late results."""
         run = self.runs.get(done.group)
         if run is not None:
-            run.take_done(done)
+            run.handle_done(done)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/member.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/member.py
@@ -1,4 +1,4 @@
-"""The member's side of a group: leases on memory, and spans to compute."""
+"""Member side of a group: memory leases and computation of spans."""
 
 import asyncio
 from typing import Any
@@ -23,14 +23,14 @@
 from ..ledger import LeaseKey, LeaseKind, MemoryLedger
 from ..state import EndpointState
 
-#: When to ask a member again that is full, in seconds.
+#: Time after which the leader may ask a full member again, in seconds.
 FULL_RETRY_SECONDS = 1.0
-#: Longest that an engine may take for one span, in seconds: a span of some
-#: hundred thousand tokens at a few thousand tokens a second.
-SPAN_SECONDS = 600.0
-#: Groups whose release is remembered, so that a reservation that was repeated
-#: on the way does not take the memory again.
-RELEASED_GROUPS = 1024
+#: Timeout for the computation of one span, in seconds. A span has several
+#: hundred thousand tokens, and an engine reads a few thousand tokens a second.
+SPAN_TIMEOUT_SECONDS = 600.0
+#: Number of released groups that are remembered, so that a duplicated
+#: reservation that arrives late does not lease the memory again.
+MAX_RELEASED_GROUPS = 1024
 
 
 class SpanBody(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -52,10 +52,10 @@
 
 
 class GroupMemberDesk:
-    """Answers the leaders of groups.
+    """Handle messages from the leaders of groups.
 
-    A lease that its leader does not renew is given up by itself, and the
-    engine is made to free it, so the death of a leader leaks nothing.
+    A lease that its leader does not renew expires, and the engine is asked to
+    free the memory. A crashed leader therefore leaks no memory.
     """
 
     def __init__(
@@ -73,64 +73,66 @@
         self._tasks: dict[LeaseKey, asyncio.Task[None]] = {}
         self._freeing: set[asyncio.Task[None]] = set()
 
-    def reserve(self, wanted: GroupReserve, peer: Peer) -> None:
-        """Lease memory for one span, or renew a lease that is there."""
-        key = LeaseKey(LeaseKind.SPAN, wanted.group, wanted.span)
+    def reserve(self, message: GroupReserve, peer: Peer) -> None:
+        """Lease memory for one span, or renew an existing lease."""
+        key = LeaseKey(LeaseKind.SPAN, message.group, message.span)
         now = self.state.clock.monotonic()
-        until = now + wanted.lease_seconds
+        until = now + message.lease_seconds
         granted = self.memory.renew(key, until)
-        if not granted and self._is_open(wanted.group, key):
-            granted = self.memory.take(key, wanted.tokens, until, now)
+        if not granted and self._can_lease(message.group, key):
+            granted = self.memory.take(key, message.tokens, until, now)
         answer = GroupAnswer(
-            group=wanted.group,
-            span=wanted.span,
+            group=message.group,
+            span=message.span,
             granted=granted,
             retry_after=0 if granted else FULL_RETRY_SECONDS,
-            number=wanted.number,
+            number=message.number,
         )
         peer.post(answer)
 
-    def renew(self, wanted: GroupRenew, peer: Peer) -> None:
-        """Keep the leases of a group."""
-        until = self.state.clock.monotonic() + wanted.lease_seconds
-        for key in self._keys_of(wanted.group):
+    def renew(self, message: GroupRenew, peer: Peer) -> None:
+        """Renew the leases of a group."""
+        until = self.state.clock.monotonic() + message.lease_seconds
+        for key in self._keys_of(message.group):
             answer = GroupAnswer(
-                group=wanted.group,
+                group=message.group,
                 span=key.span,
                 granted=self.memory.renew(key, until),
-                number=wanted.number,
+                number=message.number,
             )
             peer.post(answer)
 
-    def release(self, wanted: GroupRelease) -> None:
-        """Give up the leases of a group; the engine is made to free them."""
-        self.released[wanted.group] = None
-        while len(self.released) > RELEASED_GROUPS:
+    def release(self, message: GroupRelease) -> None:
+        """Release the leases of a group and have the engine free them."""
+        self.released[message.group] = None
+        while len(self.released) > MAX_RELEASED_GROUPS:
             self.released.pop(next(iter(self.released)))
         now = self.state.clock.monotonic()
-        for key in self._keys_of(wanted.group):
+        for key in self._keys_of(message.group):
             self.memory.give_up(key, now)
             self.done.pop(key, None)
             task = self._tasks.pop(key, None)
             if task is not None:
                 task.cancel()
-        freeing = asyncio.create_task(self._free(wanted.group))
+        freeing = asyncio.create_task(self._free(message.group))
         self._freeing.add(freeing)
         freeing.add_done_callback(self._freeing.discard)
 
-    def run(self, wanted: SpanRun, peer: Peer) -> None:
-        """Compute a span that is leased; a repeated call is answered again."""
-        key = LeaseKey(LeaseKind.SPAN, wanted.group, wanted.span)
+    def run(self, message: SpanRun, peer: Peer) -> None:
+        """Compute a leased span; a repeated call gets the same result."""
+        key = LeaseKey(LeaseKind.SPAN, message.group, message.span)
         done = self.done.get(key)
         if done is not None:
             peer.post(done)
             return
         lease = self.memory.leases.get(key)
         if lease is None or lease.releasing:
-            peer.post(SpanDone(wanted.group, wanted.span, '', '', failed=True))
+            peer.post(
+                SpanDone(message.group, message.span, '', '', failed=True)
+            )
             return
         if key not in self._tasks:
-            task = asyncio.create_task(self._compute(key, wanted, peer))
+            task = asyncio.create_task(self._compute(key, message, peer))
             self._tasks[key] = task
 
     async def _free(self, group: GroupId) -> None:
@@ -138,55 +140,55 @@
         try:
             await free_in_engine(self.control, key)
         except BackendError as error:
-            # The engine is asked again after each of its reports.
+            # The release is requested again after each report of the engine.
             self.log.warning('release_failed', group=group, error=str(error))
             return
         now = self.state.clock.monotonic()
-        for held in self._keys_of(group):
-            self.memory.release(held, now)
+        for leased in self._keys_of(group):
+            self.memory.release(leased, now)
 
     async def _compute(
-        self, key: LeaseKey, wanted: SpanRun, peer: Peer
+        self, key: LeaseKey, message: SpanRun, peer: Peer
     ) -> None:
-        done = await self._computed(wanted)
+        done = await self._run_span(message)
         self._tasks.pop(key, None)
         if not done.failed and key in self.memory.leases:
             self.done[key] = done
         peer.post(done)
 
-    async def _computed(self, wanted: SpanRun) -> SpanDone:
+    async def _run_span(self, message: SpanRun) -> SpanDone:
         try:
-            handle = await self._ask_engine(wanted)
+            handle = await self._ask_engine(message)
         except BackendError as error:
             self.log.warning(
                 'span_failed',
-                group=wanted.group,
-                span=wanted.span,
+                group=message.group,
+                span=message.span,
                 error=str(error),
             )
-            return SpanDone(wanted.group, wanted.span, '', '', failed=True)
+            return SpanDone(message.group, message.span, '', '', failed=True)
         source = self.control.base_url
-        return SpanDone(wanted.group, wanted.span, handle, source)
+        return SpanDone(message.group, message.span, handle, source)
 
-    async def _ask_engine(self, wanted: SpanRun) -> str:
+    async def _ask_engine(self, message: SpanRun) -> str:
         body: Any = SpanBody(
-            group=wanted.group,
-            span=wanted.span,
-            first_token=wanted.first_token,
-            tokens=wanted.tokens,
-            imports=wanted.imports or None,
-            source=wanted.source or None,
-            payload=wanted.payload,
+            group=message.group,
+            span=message.span,
+            first_token=message.first_token,
+            tokens=message.tokens,
+            imports=message.imports or None,
+            source=message.source or None,
+            payload=message.payload,
         )
         answer = await self.control.send(
             '/v1/spans',
             body,
             SpanAnswer,
-            SPAN_SECONDS,
+            SPAN_TIMEOUT_SECONDS,
         )
         return answer.handle
 
-    def _is_open(self, group: GroupId, key: LeaseKey) -> bool:
+    def _can_lease(self, group: GroupId, key: LeaseKey) -> bool:
         live = self.state.phase is EndpointPhase.LIVE
         unknown = key not in self.memory.leases
         return live and unknown and group not in self.released
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/spans.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/spans.py
@@ -1,4 +1,4 @@
-"""How a prompt is cut among the engines of a group."""
+"""Division of a prompt among the engines of a group."""
 
 from collections.abc import Sequence
 
@@ -12,31 +12,33 @@
     fleet: FleetSettings,
     leader: EndpointSettings,
 ) -> tuple[Span, ...]:
-    """Return the spans in order, that of the leader last.
+    """Return the spans in order, with the span of the leader last.
 
-    Each engine gets a part in proportion to its memory. Nothing is returned
-    if a member is not in the published settings.
+    Each engine gets a span in proportion to its memory. The result is empty if
+    a member is not in the published settings.
     """
-    by_address = {entry.address: entry for entry in fleet.endpoints.values()}
+    by_address = {
+        endpoint.address: endpoint for endpoint in fleet.endpoints.values()
+    }
     known = [by_address.get(address) for address in offer.members]
-    group = [entry for entry in known if entry is not None]
+    group = [endpoint for endpoint in known if endpoint is not None]
     if len(group) < len(known):
         return ()
-    return _cut(offer, (*group, leader))
+    return _split(offer, (*group, leader))
 
 
-def _cut(
+def _split(
     offer: Offer,
     group: Sequence[EndpointSettings],
 ) -> tuple[Span, ...]:
     total = offer.prompt_tokens + offer.max_output_tokens
-    capacity = sum(entry.capacity_tokens for entry in group)
+    capacity = sum(endpoint.capacity_tokens for endpoint in group)
     spans: list[Span] = []
-    counted = 0
+    cumulative = 0
     first = 0
-    for entry in group:
-        counted += entry.capacity_tokens
-        end = total * counted // max(capacity, 1)
-        spans.append(Span(entry.endpoint, first, end - first))
+    for endpoint in group:
+        cumulative += endpoint.capacity_tokens
+        end = total * cumulative // max(capacity, 1)
+        spans.append(Span(endpoint.endpoint, first, end - first))
         first = end
     return tuple(spans)
