--- a/packages/sycamore-core/src/sycamore_core/cli/settings_commands.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/settings_commands.py
@@ -8,7 +8,7 @@
 from ..errors import SettingsError
 from ..ids import ServiceId, WorkspaceId
 from ..settings import SettingsProblemsError, TreeNode
-from ..settings.provenance import EffectiveValue, effective_values, pairs
+from ..settings.provenance import EffectiveValue, effective_values, workspace_services
 from .documents import check_document, load_tree
 from .exits import ExitCode, report_errors
 from .tables import format_table
@@ -76,7 +76,7 @@
         return [(workspace, service)]
     selected = [
         (owner, name)
-        for owner, name in pairs(tree)
+        for owner, name in workspace_services(tree)
         if workspace in {'', owner} and service in {'', name}
     ]
     if not selected:
--- a/packages/sycamore-core/src/sycamore_core/settings/tests/test_provenance.py
+++ b/packages/sycamore-core/src/sycamore_core/settings/tests/test_provenance.py
@@ -5,7 +5,7 @@
 from ...errors import SettingsError
 from ...ids import ServiceId, WorkspaceId
 from .. import read_tree
-from ..provenance import effective_values, pairs
+from ..provenance import effective_values, workspace_services
 from .builders import encoded, small_tree
 
 SCHOOL = WorkspaceId('school')
@@ -34,7 +34,7 @@
 
 def test_error_for_unknown_name_suggests_nearest_name() -> None:
     tree = read_tree(encoded(small_tree()))
-    assert list(pairs(tree)) == [(SCHOOL, CHAT)]
+    assert list(workspace_services(tree)) == [(SCHOOL, CHAT)]
     with pytest.raises(SettingsError, match=r'school \(nearest name\)'):
         effective_values(tree, WorkspaceId('shcool'), CHAT)
     with pytest.raises(SettingsError, match='no service'):
--- a/packages/sycamore-core/src/sycamore_core/telemetry/gauges.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/gauges.py
@@ -39,7 +39,7 @@
         Gauge.FREE_TOKENS: 'Tokens of memory not leased',
         Gauge.WAITING: 'Requests that wait to be offered or to start',
         Gauge.RUNNING: 'Requests in progress',
-        Gauge.PEERS: 'Other processes that sent messages lately',
+        Gauge.PEERS: 'Other processes heard of lately',
     },
 )
 
--- a/packages/sycamore-core/src/sycamore_core/telemetry/line_writer.py
+++ b/packages/sycamore-core/src/sycamore_core/telemetry/line_writer.py
@@ -28,7 +28,7 @@
 
     Attributes
     ----------
-    left_out
+    dropped_lines
         Number of lines dropped since the last report of dropped lines.
     failure
         Error message of the last failed write; empty if none has failed.
