--- a/packages/sycamore-endpoint/src/sycamore_endpoint/admission.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/admission.py
@@ -3,8 +3,8 @@
 from sycamore_core.messages import Accepted, Declined, Offer
 from sycamore_core.states import EndpointPhase, Execution, RefusalReason
 
-from .groups.spans import divide
-from .keys.keeper import KeyKeeper
+from .groups.spans import split_prompt
+from .keys.keeper import KeyChecker
 from .ledger import (
     LeaseKey,
     LeaseKind,
@@ -43,7 +43,7 @@
         runs: RunLedger,
         memory: MemoryLedger,
         reservations: Reservations,
-        keys: KeyKeeper,
+        keys: KeyChecker,
     ) -> None:
         self.state = state
         self.runs = runs
@@ -69,7 +69,7 @@
         """
         if offer.incarnation != self.state.incarnation:
             return _decline_unknown(offer, RefusalReason.WRONG_INCARNATION)
-        record = self.runs.answer_again(offer, owner)
+        record = self.runs.find_repeated(offer, owner)
         if record is not None:
             return Accepted(offer.request_id, record.attempt)
         now = self.state.clock.monotonic()
@@ -88,9 +88,9 @@
         between this check and the write to the socket.
         """
         offer = record.offer
-        if offer is None or self.keys.doubt(offer) is not None:
+        if offer is None or self.keys.refusal(offer) is not None:
             return False
-        return self.runs.start(record, self.state.clock.monotonic())
+        return self.runs.try_start(record, self.state.clock.monotonic())
 
     def _decide_new(
         self,
@@ -129,7 +129,7 @@
         if deadline <= now:
             return RefusalReason.DEADLINE_PASSED
         reason = self.reservations.refusal_reason(offer)
-        if reason is None and self.keys.doubt(offer) is not None:
+        if reason is None and self.keys.refusal(offer) is not None:
             return RefusalReason.KEY_IN_DOUBT
         return reason
 
@@ -150,7 +150,7 @@
             return 0
         own_settings = self.state.own_settings
         if offer.members and own_settings is not None:
-            spans = divide(offer, own_settings.fleet, own_settings.endpoint)
+            spans = split_prompt(offer, own_settings.fleet, own_settings.endpoint)
             return spans[-1].tokens if spans else 0
         return offer.prompt_tokens + offer.max_output_tokens
 
@@ -166,7 +166,7 @@
             # The engine has not yet released an earlier attempt.
             return False
         expires_at = deadline + LEASE_MARGIN_SECONDS
-        return self.memory.take(key, tokens, expires_at, now)
+        return self.memory.acquire(key, tokens, expires_at, now)
 
 
 def _decline_unknown(offer: Offer, reason: RefusalReason) -> Declined:
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/backend_parts.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/backend_parts.py
@@ -13,12 +13,12 @@
 from .backends import Backend, EngineBackend, PlainBackend
 from .backends.calls import ControlClient
 from .engine_watch import EngineWatch
-from .groups import GroupBackend, GroupDesk, GroupMemberDesk, Groups
+from .groups import GroupBackend, GroupDispatcher, GroupMemberHandler, LedGroups
 from .housekeeping import Housekeeping
-from .keys.keeper import KeyKeeper
+from .keys.keeper import KeyChecker
 from .ledger import MemoryLedger, OwnerLeases, RunLedger
 from .message_handler import MessageHandler
-from .orders import OrderKeeper
+from .orders import OrderReconciler
 from .reports import Reporter
 from .reservations import Reservations
 from .runner import Runner
@@ -43,7 +43,7 @@
     runner: Runner
     housekeeping: Housekeeping
     watch: EngineWatch | None = None
-    orders: OrderKeeper | None = None
+    orders: OrderReconciler | None = None
 
 
 class SharedParts(Protocol):
@@ -56,7 +56,7 @@
     node: Node
     reporter: Reporter
     reservations: Reservations
-    keys: KeyKeeper
+    keys: KeyChecker
     metrics: Metrics
 
 
@@ -71,16 +71,16 @@
         parts.state.ready = True
         return _assemble(parts, PlainBackend(url, streams))
     control = ControlClient(url, CurlAsyncHTTPClient(force_instance=True))
-    groups = Groups()
+    groups = LedGroups()
     backend = GroupBackend(
         EngineBackend(url, streams, control),
         groups,
         parts.state,
         parts.node,
     )
-    member = GroupMemberDesk(parts.state, parts.memory, control)
+    member = GroupMemberHandler(parts.state, parts.memory, control)
     backend_parts = _assemble(parts, backend)
-    backend_parts.message_handler.groups = GroupDesk(groups, member)
+    backend_parts.message_handler.groups = GroupDispatcher(groups, member)
     backend_parts.watch = EngineWatch(
         parts.state,
         parts.memory,
@@ -93,12 +93,12 @@
 
 def _make_order_keeper(
     parts: SharedParts, control: ControlClient
-) -> OrderKeeper:
+) -> OrderReconciler:
     weights_url = parts.settings.weights_url
     weights = None
     if weights_url:
         weights = ControlClient(weights_url, control.client)
-    return OrderKeeper(
+    return OrderReconciler(
         parts.state,
         control,
         weights,
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/__init__.py
@@ -1,16 +1,16 @@
 """Groups of engines that serve prompts too long for one engine."""
 
 from .backend import GroupBackend
-from .dispatcher import GroupDesk
-from .leader import GroupRun, Groups
-from .member import GroupMemberDesk
-from .spans import divide
+from .dispatcher import GroupDispatcher
+from .leader import GroupRun, LedGroups
+from .member import GroupMemberHandler
+from .spans import split_prompt
 
 __all__ = (
     'GroupBackend',
-    'GroupDesk',
-    'GroupMemberDesk',
+    'GroupDispatcher',
+    'GroupMemberHandler',
     'GroupRun',
-    'Groups',
-    'divide',
+    'LedGroups',
+    'split_prompt',
 )
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/backend.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/backend.py
@@ -11,8 +11,8 @@
 from ..backends import AnswerChunk, Backend, EngineBackend, StartGate
 from ..errors import GroupUnavailableError
 from ..state import EndpointState
-from .leader import GroupRun, Groups
-from .spans import divide
+from .leader import GroupRun, LedGroups
+from .spans import split_prompt
 
 
 class GroupBackend(Backend):
@@ -21,7 +21,7 @@
     def __init__(
         self,
         engine: EngineBackend,
-        groups: Groups,
+        groups: LedGroups,
         state: EndpointState,
         node: Node,
     ) -> None:
@@ -91,7 +91,7 @@
         own = self.state.own_settings
         if own is None:
             raise GroupUnavailableError('no settings are loaded')
-        spans = divide(offer, own.fleet, own.endpoint)
+        spans = split_prompt(offer, own.fleet, own.endpoint)
         if not spans:
             raise GroupUnavailableError('a member is not in the settings')
         endpoints = own.fleet.endpoints
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/dispatcher.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/dispatcher.py
@@ -13,14 +13,14 @@
 )
 from sycamore_core.transport import Peer
 
-from .leader import Groups
-from .member import GroupMemberDesk
+from .leader import LedGroups
+from .member import GroupMemberHandler
 
 
-class GroupDesk:
+class GroupDispatcher:
     """Pass each message to the side that handles it."""
 
-    def __init__(self, leader: Groups, member: GroupMemberDesk) -> None:
+    def __init__(self, leader: LedGroups, member: GroupMemberHandler) -> None:
         self.leader = leader
         self.member = member
 
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/leader.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/leader.py
@@ -161,7 +161,7 @@
         return payload[start:end]
 
 
-class Groups:
+class LedGroups:
     """The groups that this endpoint leads, by id."""
 
     def __init__(self) -> None:
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/member.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/member.py
@@ -51,7 +51,7 @@
     handle: str
 
 
-class GroupMemberDesk:
+class GroupMemberHandler:
     """Handle messages from the leaders of groups.
 
     A lease that its leader does not renew expires, and the engine is asked to
@@ -80,7 +80,7 @@
         until = now + message.lease_seconds
         granted = self.memory.renew(key, until)
         if not granted and self._can_lease(message.group, key):
-            granted = self.memory.take(key, message.tokens, until, now)
+            granted = self.memory.acquire(key, message.tokens, until, now)
         answer = GroupAnswer(
             group=message.group,
             span=message.span,
@@ -109,7 +109,7 @@
             self.released.pop(next(iter(self.released)))
         now = self.state.clock.monotonic()
         for key in self._keys_of(message.group):
-            self.memory.give_up(key, now)
+            self.memory.begin_release(key, now)
             self.done.pop(key, None)
             task = self._tasks.pop(key, None)
             if task is not None:
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/spans.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/spans.py
@@ -7,7 +7,7 @@
 from sycamore_core.settings import EndpointSettings, FleetSettings
 
 
-def divide(
+def split_prompt(
     offer: Offer,
     fleet: FleetSettings,
     leader: EndpointSettings,
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/housekeeping.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/housekeeping.py
@@ -45,8 +45,8 @@
         now = self.runner.clock.monotonic()
         self.ticks += 1
         self.owners.tick(now)
-        self.runner.admission.keys.look()
-        for record in self.runs.overdue(now):
+        self.runner.admission.keys.refresh()
+        for record in self.runs.end_overdue(now):
             self._stop_run(record, CancelReason.DEADLINE)
         for record in self._orphaned_runs(now):
             self.runs.end(record, Outcome.CANCELLED)
@@ -62,7 +62,7 @@
             record
             for record in self.runs.in_progress()
             if record.owner is not None
-            and self.owners.is_gone(record.owner, now)
+            and self.owners.is_lost(record.owner, now)
         ]
 
     def _stop_run(self, record: RunRecord, reason: CancelReason) -> None:
@@ -79,7 +79,7 @@
             self.runner.post_latest(record)
 
     def _drop_expired(self, now: float) -> None:
-        self.runs.forget(now)
+        self.runs.prune(now)
         records = self.runs.records.values()
         owners = (run.owner for run in records if run.owner is not None)
-        self.owners.forget(owners, now)
+        self.owners.prune(owners, now)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/keys/doubt.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/keys/doubt.py
@@ -94,7 +94,7 @@
     >>> key_refusal(key, KeyContext(1700000001.0, 1699999990.0, 1)).value
     'too_early'
     """
-    issued = issued_at(key)
+    issued = key_timestamp(key)
     if issued is None:
         return KeyRefusal.NOT_TIMED
     if context.home_since is None:
@@ -104,7 +104,7 @@
     return _time_refusal(issued, context.home_since, context.wall)
 
 
-def issued_at(key: IdempotencyKey) -> float | None:
+def key_timestamp(key: IdempotencyKey) -> float | None:
     """Return the timestamp of a UUIDv7 in seconds since 1970, or None."""
     try:
         parsed = uuid.UUID(key)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/keys/keeper.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/keys/keeper.py
@@ -12,7 +12,7 @@
 from .history import HomeHistory
 
 
-class KeyKeeper:
+class KeyChecker:
     """Check whether requests with a caller's key may run here.
 
     Attributes
@@ -29,7 +29,7 @@
         self.wall = state.clock.wall()
         self.refreshed_at = state.clock.monotonic()
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Check whether the view of the settings is fresh; called often.
 
         A long gap since the last call means that this process was suspended.
@@ -52,11 +52,11 @@
         names = [endpoint.endpoint for endpoint in listed]
         self.history.record(names, self._read_wall())
 
-    def doubt(self, offer: Offer) -> KeyRefusal | None:
+    def refusal(self, offer: Offer) -> KeyRefusal | None:
         """Return why an offer with a caller's key must not run now."""
         if offer.idempotent or not offer.idempotency_key:
             return None
-        self.look()
+        self.refresh()
         context = KeyContext(
             wall=self._read_wall(),
             home_since=self.history.home_since(
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/__init__.py
@@ -4,10 +4,10 @@
 from .memory import LeaseKey, LeaseKind, MemoryLease, MemoryLedger
 from .owners import OwnerLeases
 from .records import Owner, RunRecord
-from .runs import RESERVATION_SECONDS, RunLedger
+from .runs import RESERVATION_TTL_SECONDS, RunLedger
 
 __all__ = (
-    'RESERVATION_SECONDS',
+    'RESERVATION_TTL_SECONDS',
     'WINDOW_FRAMES',
     'Answer',
     'LeaseKey',
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/answers.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/answers.py
@@ -33,7 +33,7 @@
     >>> answer = Answer(RequestId('r'), Attempt(1))
     >>> answer.add(b'ab', tokens=1)
     >>> answer.end(Outcome.COMPLETE)
-    >>> [frame.sequence for frame in answer.due()]
+    >>> [frame.sequence for frame in answer.next_frames()]
     [0, 1]
     """
 
@@ -48,17 +48,17 @@
         self.last_posted = -1
 
     @property
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether the answer has its closing frame."""
         return bool(self.frames) and self.frames[-1].close is not None
 
     @property
     def is_acknowledged(self) -> bool:
         """Whether the entry has acknowledged the closing frame."""
-        return self.closed and self.last_acknowledged >= len(self.frames) - 1
+        return self.is_closed and self.last_acknowledged >= len(self.frames) - 1
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether the window allows another frame to be read."""
         unacknowledged = len(self.frames) - 1 - self.last_acknowledged
         return unacknowledged < WINDOW_FRAMES
@@ -70,7 +70,7 @@
         plain_reply: PlainReply | None = None,
     ) -> None:
         """Append a frame; ignored once the answer is closed."""
-        if self.closed:
+        if self.is_closed:
             return
         self.checksum = zlib.crc32(payload, self.checksum)
         self.tokens += tokens
@@ -92,7 +92,7 @@
         reason: RefusalReason | None = None,
     ) -> None:
         """Append the closing frame; later calls have no effect."""
-        if self.closed:
+        if self.is_closed:
             return
         close = Close(
             outcome=outcome,
@@ -110,7 +110,7 @@
             ),
         )
 
-    def due(self) -> Series[Frame]:
+    def next_frames(self) -> Series[Frame]:
         """Return the frames to post now and mark them as posted."""
         first = self.last_posted + 1
         stop = self.last_acknowledged + 1 + WINDOW_FRAMES
@@ -135,7 +135,7 @@
         self.last_acknowledged = last
         self.last_posted = last
 
-    def latest(self) -> Frame | None:
+    def last_unacknowledged(self) -> Frame | None:
         """Return the last posted frame, or None if it is acknowledged."""
         if self.last_posted <= self.last_acknowledged:
             return None
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/memory.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/memory.py
@@ -85,9 +85,9 @@
     --------
     >>> ledger = MemoryLedger(100)
     >>> key = LeaseKey(LeaseKind.RUN, 'r')
-    >>> ledger.take(key, 80, expires_at=10, now=0)
+    >>> ledger.acquire(key, 80, expires_at=10, now=0)
     True
-    >>> ledger.take(LeaseKey(LeaseKind.RUN, 's'), 30, expires_at=10, now=0)
+    >>> ledger.acquire(LeaseKey(LeaseKind.RUN, 's'), 30, expires_at=10, now=0)
     False
     >>> ledger.free_tokens
     20
@@ -110,7 +110,7 @@
         unknown = sum(self.unknown_usage.values())
         return max(0, self.capacity_tokens - self.leased_tokens - unknown)
 
-    def take(
+    def acquire(
         self,
         key: LeaseKey,
         tokens: int,
@@ -139,7 +139,7 @@
         lease.expires_at = max(lease.expires_at, expires_at)
         return True
 
-    def give_up(self, key: LeaseKey, now: float) -> None:
+    def begin_release(self, key: LeaseKey, now: float) -> None:
         """Begin the release of a lease; `reconcile` frees it later."""
         lease = self.leases.get(key)
         if lease is None or lease.releasing:
@@ -160,7 +160,7 @@
             if not lease.releasing and lease.expires_at <= now
         )
         for key in expired:
-            self.give_up(key, now)
+            self.begin_release(key, now)
         return expired
 
     def reconcile(
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/owners.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/owners.py
@@ -29,9 +29,9 @@
     --------
     >>> leases = OwnerLeases()
     >>> owner = Owner('tcp://127.0.0.1:1', 1)
-    >>> leases.hear(owner, now=0)
+    >>> leases.record_message(owner, now=0)
     >>> leases.tick(now=0.5)
-    >>> leases.is_gone(owner, now=20)
+    >>> leases.is_lost(owner, now=20)
     True
     """
 
@@ -39,7 +39,7 @@
         self.last_received_at: dict[Owner, float] = {}
         self.ticked_at: float | None = None
 
-    def hear(self, owner: Owner, now: float) -> None:
+    def record_message(self, owner: Owner, now: float) -> None:
         """Record that a message from the owner arrived."""
         self.last_received_at[owner] = now
 
@@ -54,7 +54,7 @@
             }
         self.ticked_at = now
 
-    def is_gone(self, owner: Owner, now: float) -> bool:
+    def is_lost(self, owner: Owner, now: float) -> bool:
         """Return whether the owner was silent beyond its timeout and grace."""
         received = self.last_received_at.get(owner)
         if received is None:
@@ -64,11 +64,11 @@
             > ENTRY_SILENCE_TIMEOUT_SECONDS + ORPHAN_GRACE_SECONDS
         )
 
-    def forget(self, kept: Iterable[Owner], now: float) -> None:
+    def prune(self, kept: Iterable[Owner], now: float) -> None:
         """Drop silent owners that are not in `kept`."""
         needed = frozenset(kept)
         self.last_received_at = {
             owner: received
             for owner, received in self.last_received_at.items()
-            if owner in needed or not self.is_gone(owner, now)
+            if owner in needed or not self.is_lost(owner, now)
         }
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/runs.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/runs.py
@@ -40,7 +40,7 @@
 #: How long a reserved id waits for its request, in seconds. A caller sends its
 #: request right after the reservation; a minute leaves time for a lost
 #: connection and a retry.
-RESERVATION_SECONDS = 60.0
+RESERVATION_TTL_SECONDS = 60.0
 #: How long an answer is kept past the deadline of its run, in seconds, for
 #: callers that reconnect after a lost connection.
 ANSWER_RETENTION_SECONDS = 30.0
@@ -100,11 +100,11 @@
             request_id=request_id,
             attempt=Attempt(0),
             state=RunState.RESERVED,
-            deadline=now + RESERVATION_SECONDS,
-            forget_at=now + RESERVATION_SECONDS + MAX_BUDGET_SECONDS,
+            deadline=now + RESERVATION_TTL_SECONDS,
+            forget_at=now + RESERVATION_TTL_SECONDS + MAX_BUDGET_SECONDS,
         )
 
-    def answer_again(self, offer: Offer, owner: Owner) -> RunRecord | None:
+    def find_repeated(self, offer: Offer, owner: Owner) -> RunRecord | None:
         """Return the run that this offer repeats, or None.
 
         The answer then goes to the entry that repeated the offer, since a
@@ -212,7 +212,7 @@
         self.records[offer.request_id] = record
         return record
 
-    def start(self, record: RunRecord, now: float) -> bool:
+    def try_start(self, record: RunRecord, now: float) -> bool:
         """Mark a run as started; return False if it must not start.
 
         The caller calls the backend right after this method, without awaiting
@@ -227,7 +227,7 @@
         record.execution = Execution.RAN
         return True
 
-    def not_started(self, record: RunRecord) -> None:
+    def record_not_started(self, record: RunRecord) -> None:
         """Record that the backend has certainly not started the run."""
         if record.state is RunState.RUNNING:
             record.execution = Execution.NOT_RUN
@@ -329,14 +329,14 @@
         self.end(record, outcome)
         return record
 
-    def overdue(self, now: float) -> Iterable[RunRecord]:
+    def end_overdue(self, now: float) -> Iterable[RunRecord]:
         """End the runs whose deadline has passed and return them."""
         late = [run for run in self.in_progress() if run.deadline <= now]
         for record in late:
             self.end(record, Outcome.TIMEOUT, RefusalReason.DEADLINE_PASSED)
         return late
 
-    def forget(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Drop answers and records whose retention time has passed."""
         for ended in self.records.values():
             expired = ended.deadline + ANSWER_RETENTION_SECONDS <= now
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_memory_machine.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_memory_machine.py
@@ -32,7 +32,7 @@
         if key not in self.ledger.leases:
             self.tick()
             until = self.now + lease
-            if self.ledger.take(key, tokens, until, self.now):
+            if self.ledger.acquire(key, tokens, until, self.now):
                 self.engine[key] = tokens
 
     @rule(key=KEYS)
@@ -45,7 +45,7 @@
     @rule(key=KEYS)
     def begin_release(self, key) -> None:
         self.tick()
-        self.ledger.give_up(key, self.now)
+        self.ledger.begin_release(key, self.now)
 
     @rule(key=KEYS)
     def lose_on_engine(self, key) -> None:
@@ -111,8 +111,8 @@
     """
     ledger = MemoryLedger(CAPACITY)
     key = LeaseKey(LeaseKind.RUN, 'a')
-    ledger.take(key, 60, expires_at=9, now=2)
-    ledger.give_up(key, now=2.5)
+    ledger.acquire(key, 60, expires_at=9, now=2)
+    ledger.begin_release(key, now=2.5)
     ledger.reconcile({}, asked_at=1, now=3)
     assert ledger.free_tokens == CAPACITY - 60
     ledger.reconcile({}, asked_at=3, now=4)
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_run_machine.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_run_machine.py
@@ -33,7 +33,7 @@
     @rule(name=NAMES, attempt=ATTEMPTS, owner=OWNERS, has_memory=st.booleans())
     def offer(self, name, attempt, owner, has_memory) -> None:
         offer = make_offer(name, attempt)
-        if self.ledger.answer_again(offer, owner) is not None:
+        if self.ledger.find_repeated(offer, owner) is not None:
             return
         refused = self.ledger.refusal(offer, owner, self.now)
         if refused is None and has_memory:
@@ -71,7 +71,7 @@
         if number >= len(self.tasks):
             return
         record = self.tasks[number]
-        if self.ledger.start(record, self.now):
+        if self.ledger.try_start(record, self.now):
             name = record.request_id
             self.starts[name] = self.starts.get(name, 0) + 1
             assert name not in self.reported_not_run
@@ -84,8 +84,8 @@
     @rule(pause=st.sampled_from([0.1, 5, MAX_PACKET_AGE_SECONDS, 200]))
     def advance_time(self, pause) -> None:
         self.now += pause
-        self.ledger.overdue(self.now)
-        self.ledger.forget(self.now)
+        self.ledger.end_overdue(self.now)
+        self.ledger.prune(self.now)
 
     @invariant()
     def runs_at_most_once(self) -> None:
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_runs.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/ledger/tests/test_runs.py
@@ -10,7 +10,7 @@
 )
 
 from ..answers import WINDOW_FRAMES, Answer
-from ..runs import ANSWER_RETENTION_SECONDS, RESERVATION_SECONDS, RunLedger
+from ..runs import ANSWER_RETENTION_SECONDS, RESERVATION_TTL_SECONDS, RunLedger
 from .builders import FIRST, SECOND, make_offer
 
 
@@ -53,7 +53,7 @@
     """
     ledger = RunLedger()
     record = admit_offer(ledger)
-    assert ledger.start(record, now=1)
+    assert ledger.try_start(record, now=1)
     report = ledger.withdraw('r', Attempt(1), FIRST, now=2)
     assert report.state is RunState.RUNNING
     assert report.execution is Execution.RAN
@@ -69,7 +69,7 @@
     record = admit_offer(ledger)
     report = ledger.withdraw('r', Attempt(1), FIRST, now=1)
     assert report.execution is Execution.NOT_RUN
-    assert not ledger.start(record, now=1)
+    assert not ledger.try_start(record, now=1)
 
 
 def test_answer_moves_to_the_entry_that_attaches() -> None:
@@ -81,12 +81,12 @@
     """
     ledger = RunLedger()
     record = admit_offer(ledger)
-    ledger.start(record, now=1)
+    ledger.try_start(record, now=1)
     for _ in range(3):
         record.answer.add(b'x', tokens=1)
-    record.answer.due()
+    record.answer.next_frames()
     ledger.attach('r', SECOND, after=0)
-    assert [frame.sequence for frame in record.answer.due()] == [1, 2]
+    assert [frame.sequence for frame in record.answer.next_frames()] == [1, 2]
     late = ledger.cancel('r', CancelReason.CALLER_GONE, FIRST, now=2)
     assert late is None
     assert ledger.acknowledge('r', 2, FIRST) is None
@@ -97,7 +97,7 @@
     for idempotent in (True, False):
         ledger = RunLedger()
         record = admit_offer(ledger, idempotent=idempotent)
-        ledger.start(record, now=1)
+        ledger.try_start(record, now=1)
         ledger.end(record, Outcome.FAILED)
         again = make_offer(attempt=2, idempotent=idempotent)
         refused = ledger.refusal(again, FIRST, now=2)
@@ -110,7 +110,7 @@
     ledger.reserve('r', now=0)
     late = make_offer(bound=True)
     assert ledger.refusal(late, FIRST, now=1) is None
-    refused = ledger.refusal(late, FIRST, now=RESERVATION_SECONDS)
+    refused = ledger.refusal(late, FIRST, now=RESERVATION_TTL_SECONDS)
     assert refused is not None
     assert refused.execution is Execution.NOT_RUN
 
@@ -134,10 +134,10 @@
     """
     ledger = RunLedger()
     record = admit_offer(ledger, payload=b'p' * 100)
-    ledger.start(record, now=1)
+    ledger.try_start(record, now=1)
     ledger.end(record, Outcome.COMPLETE)
     assert not record.offer.payload
-    ledger.forget(now=10 + ANSWER_RETENTION_SECONDS)
+    ledger.prune(now=10 + ANSWER_RETENTION_SECONDS)
     assert record.answer is None
     refused = ledger.refusal(make_offer(), FIRST, now=60)
     assert refused is not None
@@ -151,9 +151,9 @@
     """
     answer = Answer('r', Attempt(1))
     for _ in range(WINDOW_FRAMES):
-        assert answer.has_room
+        assert answer.has_capacity
         answer.add(b'x', tokens=1)
-    assert not answer.has_room
-    assert len(answer.due()) == WINDOW_FRAMES
+    assert not answer.has_capacity
+    assert len(answer.next_frames()) == WINDOW_FRAMES
     answer.acknowledge(0)
-    assert answer.has_room
+    assert answer.has_capacity
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/message_handler.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/message_handler.py
@@ -22,7 +22,7 @@
 from sycamore_core.transport import Peer, ReceivedMessage
 
 from .admission import Admission
-from .groups import GroupDesk
+from .groups import GroupDispatcher
 from .ledger import Owner, OwnerLeases
 from .reports import Reporter
 from .reservations import Reservations
@@ -55,14 +55,14 @@
         self.reporter = reporter
         self.owners = owners
         self.metrics = metrics
-        self.groups: GroupDesk | None = None
+        self.groups: GroupDispatcher | None = None
         self.log = Log('endpoint.desk')
 
     async def serve(self, peer: Peer) -> None:
         """Handle the messages of one peer until cancelled."""
         while True:
             received = await peer.next_message()
-            self.owners.hear(owner_of(peer), self.runner.clock.monotonic())
+            self.owners.record_message(owner_of(peer), self.runner.clock.monotonic())
             try:
                 self._dispatch(received, peer)
             except SycamoreError as error:
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/orders/__init__.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/orders/__init__.py
@@ -9,14 +9,14 @@
     load_delay,
     next_order,
 )
-from .reconciler import OrderKeeper
+from .reconciler import OrderReconciler
 
 __all__ = (
     'ORDER_TIMEOUT_SECONDS',
     'EngineState',
     'Order',
     'OrderFacts',
-    'OrderKeeper',
+    'OrderReconciler',
     'fencing_number',
     'load_delay',
     'next_order',
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/orders/reconciler.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/orders/reconciler.py
@@ -45,7 +45,7 @@
     """Answer to ``POST /v1/orders``; its content is not used."""
 
 
-class OrderKeeper:
+class OrderReconciler:
     """Make the engine load the model that the settings name.
 
     Parameters
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/parts.py
@@ -14,7 +14,7 @@
 from sycamore_core.transport import Node, NodeAddress, Peer
 
 from .backend_parts import BackendParts, make_backend_parts
-from .keys.keeper import KeyKeeper
+from .keys.keeper import KeyChecker
 from .ledger import MemoryLedger, RunLedger
 from .reports import Reporter
 from .reservations import Reservations
@@ -40,7 +40,7 @@
     keeper: SettingsKeeper
     reporter: Reporter
     reservations: Reservations
-    keys: KeyKeeper
+    keys: KeyChecker
     metrics: Metrics
     backend_parts: BackendParts | None = None
 
@@ -78,7 +78,7 @@
                 incarnation,
                 clock,
             ),
-            keys=KeyKeeper(state, keeper),
+            keys=KeyChecker(state, keeper),
             metrics=metrics,
         )
         node.serve_peer = parts.serve_peer
@@ -117,7 +117,7 @@
         own_settings = self.state.own_settings
         if own_settings is None:
             return
-        self.keys.look()
+        self.keys.refresh()
         self.memory.capacity_tokens = own_settings.endpoint.capacity_tokens
         if self.backend_parts is None:
             self.backend_parts = make_backend_parts(
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/reservations.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/reservations.py
@@ -9,7 +9,7 @@
 from sycamore_core.messages import Offer, Reserve, Reserved
 from sycamore_core.states import RefusalReason
 
-from .ledger import RESERVATION_SECONDS, RunLedger
+from .ledger import RESERVATION_TTL_SECONDS, RunLedger
 
 _NONCE_BYTES = 12
 
@@ -42,7 +42,7 @@
         return Reserved(
             nonce=wanted.nonce,
             request_id=request_id,
-            expires_in=RESERVATION_SECONDS,
+            expires_in=RESERVATION_TTL_SECONDS,
         )
 
     def refusal_reason(self, offer: Offer) -> RefusalReason | None:
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
@@ -62,11 +62,11 @@
         if answer is None or owner is None:
             return
         peer = self.node.peer(owner.address)
-        for frame in answer.due():
+        for frame in answer.next_frames():
             first_or_last = frame.sequence == 0 or frame.close is not None
             peer.post(frame, urgent=first_or_last)
         window_open = self._window_events.get(record.request_id)
-        if window_open is not None and answer.has_room:
+        if window_open is not None and answer.has_capacity:
             window_open.set()
 
     def post_latest(self, record: RunRecord) -> None:
@@ -78,7 +78,7 @@
         """
         if record.answer is None or record.owner is None:
             return
-        frame = record.answer.latest()
+        frame = record.answer.last_unacknowledged()
         if frame is not None:
             self.node.peer(record.owner.address).post(frame, urgent=False)
 
@@ -101,7 +101,7 @@
             await self._stream_answer(record)
         except BackendError as error:
             if isinstance(error, _NOT_RUN_ERRORS):
-                self.runs.not_started(record)
+                self.runs.record_not_started(record)
             self._fail(record, error, _refusal_reason(error))
         self.post_due(record)
 
@@ -126,7 +126,7 @@
         answer.add(chunk.payload, chunk.tokens, chunk.plain_reply)
         self.post_due(record)
         window_open = self._window_events[record.request_id]
-        while not answer.has_room:
+        while not answer.has_capacity:
             window_open.clear()
             await window_open.wait()
 
@@ -165,18 +165,18 @@
     async def _release_memory(self, record: RunRecord) -> None:
         key = LeaseKey(LeaseKind.RUN, record.request_id)
         answer = record.answer
-        complete = answer is not None and answer.closed and _is_complete(record)
+        complete = answer is not None and answer.is_closed and _is_complete(record)
         if complete or record.execution is Execution.NOT_RUN:
             self.memory.release(key, self.clock.monotonic())
             return
-        self.memory.give_up(key, self.clock.monotonic())
+        self.memory.begin_release(key, self.clock.monotonic())
         if await self.backend.cancel(record.request_id):
             self.memory.release(key, self.clock.monotonic())
 
 
 def _is_complete(record: RunRecord) -> bool:
     answer = record.answer
-    if answer is None or not answer.closed:
+    if answer is None or not answer.is_closed:
         return False
     close = answer.frames[-1].close
     return close is not None and close.outcome is Outcome.COMPLETE
