--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/attempts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/attempts.py
@@ -65,7 +65,7 @@
         Ended attempts that ran at an endpoint, or of which this is unknown.
     is_in_progress
         Whether an attempt is in progress. Its request may run at any moment,
-        so a caller that is answered meanwhile must not be told "not run".
+        so a caller that is answered meanwhile must not receive "not run".
     answer_has_begun
         Whether the caller has received the beginning of an answer.
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_registry.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_registry.py
@@ -71,7 +71,7 @@
         content: ContentDigest,
         now: float,
     ) -> CrashRecord | None:
-        """Return the record of a content to quarantine or try, if any."""
+        """Return the record of a suspect content; None if it is not suspect."""
         record = self.find(content, now)
         if record is None or not self.has_enough_crashes(record):
             return None
@@ -87,7 +87,7 @@
     def merge(self, report: CrashReport, now: float) -> None:
         """Add a report of a crash.
 
-        A report never takes back what is known of a crash: `had_just_begun`
+        A report never revokes what is known of a crash: `had_just_begun`
         and `is_cleared` stay true once they are.
         """
         if report.age >= QUARANTINE_SECONDS:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/quarantine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/quarantine.py
@@ -154,7 +154,7 @@
         return is_known and not self.is_quarantined(content, now)
 
     def seconds_to_trial(self, content: ContentDigest, now: float) -> float:
-        """Return the time until a suspect content may be tried, in seconds."""
+        """Return the time until the trial of a suspect content, in seconds."""
         record = self.book.records[content]
         seconds = seconds_to_trial(record, now)
         if seconds is None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
@@ -60,8 +60,8 @@
     request = long_request(LARGEST)
     plan = plan_read(request, idle_engines(18), costs)
     assert plan is not None
-    stored = sum(tokens for _, tokens in plan.helper_tokens)
-    assert stored + memory >= LARGEST + request.answer_tokens
+    helper_tokens = sum(tokens for _, tokens in plan.helper_tokens)
+    assert helper_tokens + memory >= LARGEST + request.answer_tokens
 
 
 def test_no_helper_is_given_more_than_its_memory() -> None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/worth.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/worth.py
@@ -1,4 +1,4 @@
-"""Whether a long prompt is read now, or its caller is asked to come back.
+"""Whether a long prompt is read now, or refused with a retry delay.
 
 Load pattern: a prompt of several hundred thousand tokens arrives while short
 requests occupy most engines. Reading the prompt takes a minute of engine time,
@@ -13,7 +13,7 @@
 A prompt is read if its value for its caller is at least its interference with
 other requests. Both are counted in objectives of short requests, as in plans.
 A prompt whose reading alone takes longer than its caller waits has no value.
-A caller that is turned away comes back when the load may have changed.
+A caller that is refused retries when the load may have changed.
 """
 
 from .plan import ReadPlan, ReadRequest
@@ -21,8 +21,8 @@
 
 #: Reading time up to which a prompt is always read, in milliseconds. Shorter
 #: prompts delay about as many requests as they serve. If they were weighed
-#: against callers who are late already, all callers that come back after an
-#: outage would be turned away.
+#: against callers who are late already, all callers that retry after an
+#: outage would be refused.
 _ALWAYS_READ_MS = 500.0
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/fair.py
@@ -134,14 +134,14 @@
             return refusal
         waiting = queue.build_waiting(request)
         estimate = queue.estimate(waiting, now)
-        verdict = decide_admission(request, estimate, now, self.draw)
-        if verdict.reason is not None:
+        decision = decide_admission(request, estimate, now, self.draw)
+        if decision.reason is not None:
             queue.record_refused(request, now)
             return Refusal(
                 request.request_id,
-                verdict.reason,
-                verdict.retry_after,
-                verdict.detail,
+                decision.reason,
+                decision.retry_after,
+                decision.detail,
             )
         self.retries.record_first_attempt(now)
         self.backlog.enqueue(waiting)
--- a/packages/sycamore-core/src/sycamore_core/decisions/replays.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/replays.py
@@ -45,19 +45,19 @@
 
 @replay.register
 def _replay_admission(case: AdmissionCase) -> Explanation:
-    verdict = decide_admission(
+    admission = decide_admission(
         case.request,
         case.estimate,
         case.now,
         _draw_from(case.draws),
     )
-    refused = verdict.reason is not None
+    refused = admission.reason is not None
     return Explanation(
         decision='refused' if refused else 'let in',
-        reason=verdict.reason.value if refused else 'expected in time',
+        reason=admission.reason.value if refused else 'expected in time',
         figures=figures(
-            detail=verdict.detail,
-            retry_after=verdict.retry_after,
+            detail=admission.detail,
+            retry_after=admission.retry_after,
             expected_first_token=case.estimate.until_first_token,
             queue_seconds=case.estimate.queue_seconds,
             share=case.estimate.share,
--- a/packages/sycamore-core/src/sycamore_core/membership/members.py
+++ b/packages/sycamore-core/src/sycamore_core/membership/members.py
@@ -7,9 +7,9 @@
 A fleet of up to `LARGEST_CELL` entries is one cell. In a larger fleet each
 availability zone is a cell. Entries of one cell exchange updates directly. An
 entry that falls silent counts as lost but is still sent updates, so that it
-rejoins as soon as it receives them. An entry learns about another cell from
-the members of that cell, which report in turn. No member has a special role
-that another one would have to take over when it fails.
+rejoins as soon as it receives them. The members of another cell report its
+state to an entry in rotation. No member has a special role that another one
+would have to assume when it fails.
 """
 
 from collections.abc import Iterable
--- a/packages/sycamore-core/src/sycamore_core/messages/entries.py
+++ b/packages/sycamore-core/src/sycamore_core/messages/entries.py
@@ -25,7 +25,7 @@
     Attributes
     ----------
     is_full
-        Whether `shares` is the full load of the entry; otherwise it holds
+        Whether `shares` is the full load of the entry; otherwise it has
         only the changes since the previous update.
     peers
         Addresses of the entries known to the sender, for a new member whose
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
@@ -251,10 +251,10 @@
         )
         if step != NextStep.RETRY:
             return step
-        allowance = self.context.allowance(call.service.service)
+        budget = self.context.allowance(call.service.service)
         # Without a connection, nothing reached an endpoint. Another attempt
         # does not count as a retry then.
-        if not end.was_sent or allowance.try_acquire(
+        if not end.was_sent or budget.try_acquire(
             now, self.context.entry_count
         ):
             return step
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/context.py
@@ -98,13 +98,13 @@
         """Apply changed settings; listening addresses need a restart."""
         self.settings = settings
         self.keeper.read_limit.change_seconds = settings.change_seconds
-        for allowance in self.allowances.values():
-            allowance.bounds = settings.allowance
+        for budget in self.allowances.values():
+            budget.bounds = settings.allowance
 
     def allowance(self, service: ServiceId) -> SharedRetryBudget:
-        """Return the retry allowance of a service."""
-        allowance = self.allowances.get(service)
-        if allowance is None:
-            allowance = SharedRetryBudget(self.settings.allowance)
-            self.allowances[service] = allowance
-        return allowance
+        """Return the shared retry budget of a service."""
+        budget = self.allowances.get(service)
+        if budget is None:
+            budget = SharedRetryBudget(self.settings.allowance)
+            self.allowances[service] = budget
+        return budget
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/crashes.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/crashes.py
@@ -49,9 +49,13 @@
             raise self._quarantine_refusal(call, seconds_left)
         if not self.quarantine.is_in_doubt(content, self._now()):
             return
-        to_try = self.quarantine.seconds_to_trial(content, self._now())
-        if to_try or not await self.context.trials.request_trial(content):
-            raise self._quarantine_refusal(call, to_try)
+        seconds_to_trial = self.quarantine.seconds_to_trial(
+            content, self._now()
+        )
+        if seconds_to_trial or not await self.context.trials.request_trial(
+            content
+        ):
+            raise self._quarantine_refusal(call, seconds_to_trial)
         self.is_trial = True
 
     def endpoints_to_avoid(self, call: AdmittedRequest) -> set[EndpointId]:
@@ -130,7 +134,7 @@
     ) -> None:
         now = self._now()
         content = call.content.digest
-        was_held = self.quarantine.is_quarantined(content, now)
+        was_quarantined = self.quarantine.is_quarantined(content, now)
         self.quarantine.record_crash(
             content,
             endpoint.lifetime,
@@ -138,7 +142,7 @@
             had_just_begun=had_just_begun,
         )
         self.context.dispatcher.send_update_now(endpoint.endpoint)
-        is_held = self.quarantine.is_quarantined(content, now)
+        is_quarantined = self.quarantine.is_quarantined(content, now)
         self.context.log.warning(
             'endpoint_crashed',
             request_id=call.request_id,
@@ -146,9 +150,9 @@
             content=content.hex(),
             had_just_begun=had_just_begun,
             crashes=self.quarantine.crash_count(content),
-            is_held=is_held,
+            is_held=is_quarantined,
         )
-        if is_held and not was_held:
+        if is_quarantined and not was_quarantined:
             self._log_quarantined((content,), self.context.entry)
 
     def _quarantine_refusal(
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/answer_observer.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/answer_observer.py
@@ -67,8 +67,8 @@
         seconds = head.rest.seconds
         if seconds is not None:
             now = self.context.clock.monotonic()
-            rests = self.context.dispatcher.backoffs
-            rests.record_request(record.lifetime, seconds, now)
+            backoffs = self.context.dispatcher.backoffs
+            backoffs.record_request(record.lifetime, seconds, now)
         self.context.log.info(
             'rest_asked_for',
             request_id=request_id,
@@ -82,7 +82,7 @@
         head: AnswerHead,
         request_id: str,
     ) -> None:
-        """Take an endpoint that reports that it leaves out of use.
+        """Exclude an endpoint from use if it reports that it leaves.
 
         Its registration shows this as well, but not while the platform is
         unreachable.
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/crash_probe.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/crash_probe.py
@@ -1,4 +1,4 @@
-"""Tells the crash of an endpoint from the loss of a connection."""
+"""Distinguishes the crash of an endpoint from the loss of a connection."""
 
 import asyncio
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
@@ -128,7 +128,7 @@
         return self._may_retry() and self._is_sooner_elsewhere()
 
     def _may_retry(self) -> bool:
-        """Return whether the retry allowance permits to end the attempt.
+        """Return whether the shared retry budget permits to end the attempt.
 
         In a large fleet, the share of an entry in the operator's limit is three
         retries and a fifth of its requests in ten seconds. Once they are used
@@ -140,8 +140,8 @@
         service = self.call.service
         if self.has_event or service.engine is None:
             return True
-        allowance = self.context.allowance(service.service)
-        return allowance.has_capacity(self._now(), self.context.entry_count)
+        budget = self.context.allowance(service.service)
+        return budget.has_capacity(self._now(), self.context.entry_count)
 
     def _is_sooner_elsewhere(self) -> bool:
         """Return whether another endpoint would answer sooner.
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/leaving.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/leaving.py
@@ -19,7 +19,7 @@
 
 
 class LeavingEndpoints:
-    """Takes leaving endpoints out of use and lists them for peers."""
+    """Excludes leaving endpoints from use and lists them for peers."""
 
     def __init__(
         self,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
@@ -286,8 +286,8 @@
         incarnation = peer.ages.incarnation
         is_new = self._incarnations.get(peer.address) != incarnation
         self._incarnations[peer.address] = incarnation
-        is_near = self.membership.is_own_cell(update.zone)
-        if update.is_introduction or (is_new and is_near):
+        is_own_cell = self.membership.is_own_cell(update.zone)
+        if update.is_introduction or (is_new and is_own_cell):
             peer.post(self.writer.introduction(now))
 
     def _update_membership(self, now: float) -> None:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
@@ -126,7 +126,7 @@
         return None if record is None else record.zone
 
     def _all_living(self, *, own_cell: bool) -> tuple[CellMembers, ...]:
-        """Return the living entries by zone, of this cell or of all cells."""
+        """Return the entries alive in this cell or in all cells, by zone."""
         known = self.membership
         zones = {one.zone for one in known.members.values()}
         if own_cell:
@@ -138,5 +138,5 @@
 
     def _contacts(self) -> Iterable[CellMembers]:
         for zone in sorted(self.membership.cells - {self.membership.zone}):
-            living = self._living(zone)
-            yield CellMembers(zone, living.addresses[:1])
+            alive = self._living(zone)
+            yield CellMembers(zone, alive.addresses[:1])
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
@@ -22,7 +22,7 @@
 
 #: Fraction of its objective for which a request waits for a free slot. A slot
 #: that becomes free within this time still serves the request in time. After
-#: it, the caller is told when to retry.
+#: it, the request is refused with a retry delay.
 _SLOT_WAIT_FRACTION = 0.12
 #: Interval between checks for a free slot, in seconds. On each engine, slots
 #: become free a few times per second.
@@ -215,11 +215,11 @@
                 f'all endpoints are at their limit for {wait.seconds:.2f} s',
                 retry_after=after_limit(wait.seconds, caller),
             )
-        turns = self.context.dispatcher.loads.short_requests
+        short_requests = self.context.dispatcher.loads.short_requests
         return Refusal(
             RefusalCause.OVERLOADED,
             f'no free slot at {len(self._usable_endpoints())} endpoints',
-            retry_after=after_full(turns.slot_seconds, caller),
+            retry_after=after_full(short_requests.slot_seconds, caller),
         )
 
     def _shortest_wait(self, excluded: Iterable[EndpointId]) -> Wait:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders.py
@@ -175,9 +175,9 @@
         Number of connections that the other side closed.
     """
 
-    def __init__(self, name: str, talk: Script) -> None:
+    def __init__(self, name: str, script: Script) -> None:
         self.name = name
-        self.talk = talk
+        self.talk = script
         self.requests: list[dict[str, str]] = []
         self.closed = 0
         self.server: asyncio.Server | None = None
@@ -268,7 +268,7 @@
 def reply_with(*parts: bytes, close: bool = False) -> Script:
     """Return a script that answers each request with the same bytes."""
 
-    async def talk(
+    async def script(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -282,7 +282,7 @@
             writer.close()
             raise ConnectionError
 
-    return talk
+    return script
 
 
 async def never_reply(
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_answers.py
@@ -9,13 +9,13 @@
     """Return a script that answers each request with the next answer."""
     remaining = iter(answers)
 
-    async def talk(
+    async def script(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         writer.write(next(remaining))
 
-    return talk
+    return script
 
 
 def is_answered(answer: bytes) -> bool:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_engines.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/builders_engines.py
@@ -44,8 +44,8 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        talk = self.order if is_order(self.requests[-1]) else self.answer
-        await talk(reader, writer)
+        script = self.order if is_order(self.requests[-1]) else self.answer
+        await script(reader, writer)
 
 
 def is_order(request: dict[str, str]) -> bool:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_asked_rest.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_asked_rest.py
@@ -45,8 +45,8 @@
     return RawEndpoint(name, refuse_all(seconds))
 
 
-def healthy(name: str = 'e2', talk: Script | None = None) -> RawEndpoint:
-    return RawEndpoint(name, talk or reply_with(full_answer()))
+def healthy(name: str = 'e2', script: Script | None = None) -> RawEndpoint:
+    return RawEndpoint(name, script or reply_with(full_answer()))
 
 
 async def test_no_requests_are_sent_during_requested_backoff() -> None:
@@ -61,7 +61,7 @@
 async def test_no_streams_are_sent_to_engine_during_requested_backoff() -> None:
     """Guards against repeated refusals of short requests."""
     full = backing_off()
-    async with running_entry(CHAT, full, healthy(talk=ANSWER)) as entry:
+    async with running_entry(CHAT, full, healthy(script=ANSWER)) as entry:
         for number in range(REQUEST_COUNT):
             answer = await entry.ask(Id=f'q{number}', Prompt='5000')
             assert is_answered(answer)
@@ -104,10 +104,10 @@
 
 async def test_endpoint_is_used_again_after_backoff() -> None:
     """Guards against an endpoint that is never used again after a refusal."""
-    talk = reply_in_sequence(
+    script = reply_in_sequence(
         refusal(SHORT_BACKOFF), full_answer(), full_answer()
     )
-    async with running_entry(SAFE, RawEndpoint('e1', talk)) as entry:
+    async with running_entry(SAFE, RawEndpoint('e1', script)) as entry:
         assert not is_answered(await entry.ask())
         assert not is_answered(await entry.ask())
         await asyncio.sleep(SHORT_BACKOFF)
@@ -140,14 +140,14 @@
 def delay_connections(entry: TestEntry) -> None:
     """Delay each connection after the first for longer than an answer."""
     pool = entry.context.pool
-    take = pool.acquire
+    acquire = pool.acquire
     delays = iter((0, *((0.2,) * REQUEST_COUNT)))
 
-    async def take_delayed(record, *, fresh):
+    async def acquire_delayed(record, *, fresh):
         await asyncio.sleep(next(delays))
-        return await take(record, fresh=fresh)
+        return await acquire(record, fresh=fresh)
 
-    pool.acquire = take_delayed
+    pool.acquire = acquire_delayed
 
 
 async def test_backoff_applies_only_to_entry_that_received_it() -> None:
@@ -177,8 +177,8 @@
 
 async def test_failed_replica_is_used_again_if_others_back_off() -> None:
     """Guards against losing a request although a replica is available."""
-    talk = reply_in_sequence(full_answer('', 500), full_answer())
-    failing = RawEndpoint('e1', talk)
+    script = reply_in_sequence(full_answer('', 500), full_answer())
+    failing = RawEndpoint('e1', script)
     full = backing_off('e2')
     async with running_entry(SAFE, failing, full) as entry:
         dispatcher = entry.context.dispatcher
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_cells.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_cells.py
@@ -65,9 +65,9 @@
 
 def known_requests(process: ForwardingProcess, endpoint: str) -> int:
     """Return the number of requests that an entry counts at an engine."""
-    book = process.context.dispatcher.loads
+    loads = process.context.dispatcher.loads
     now = process.context.clock.monotonic()
-    return book.load(EndpointId(endpoint), now).requests
+    return loads.load(EndpointId(endpoint), now).requests
 
 
 async def wait_until_known(
@@ -106,7 +106,7 @@
     """Guards against two cells that fill the same engine for a second.
 
     An entry whose own cell is full sends short requests to another cell. They
-    would be late if the entries there learned of them from a summary only.
+    would be late if the entries there received them only in a summary.
     """
     async with running(two_cells()) as (first, second, *_):
         send_requests(first, 'e-b', 2)
@@ -122,9 +122,9 @@
     async with running(two_cells()) as (first, second, *_):
         send_requests(first, 'e-b', 2)
         send_requests(second, 'e-b', 1)
-        book = first.context.dispatcher.loads
+        loads = first.context.dispatcher.loads
         async with asyncio.timeout(5):
-            while EndpointId('e-b') not in book.cell_loads:
+            while EndpointId('e-b') not in loads.cell_loads:
                 await asyncio.sleep(0.01)
         assert known_requests(first, 'e-b') == 3
         await wait_until_known(second, 'e-b', 3)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_leaving_in_answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_leaving_in_answers.py
@@ -44,8 +44,8 @@
 )
 
 
-def plain(name: str, talk: Script | None = None) -> RawEndpoint:
-    return RawEndpoint(name, talk or reply_with(full_answer()))
+def plain(name: str, script: Script | None = None) -> RawEndpoint:
+    return RawEndpoint(name, script or reply_with(full_answer()))
 
 
 @pytest.mark.parametrize('kind', ANSWERS)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
@@ -53,12 +53,12 @@
         assignment = Assignment(read_ms=5000)
         name = EndpointId('e1')
         first.context.dispatcher.begin(RequestId('r1'), {name: assignment})
-        book = second.context.dispatcher.loads
+        loads = second.context.dispatcher.loads
         now = second.context.clock.monotonic
         async with asyncio.timeout(5):
-            while book.load(name, now()).requests < 1:
+            while loads.load(name, now()).requests < 1:
                 await asyncio.sleep(0.005)
-        unread = book.load(name, now()).unread[0]
+        unread = loads.load(name, now()).unread[0]
         assert unread.read_ms - unread.waited_ms > 4000
 
 
@@ -79,11 +79,11 @@
     first.context.dispatcher.begin(RequestId('r1'), assignments)
     first.context.dispatcher.loads.pop_changed()
     second.start_tasks()
-    book = second.context.dispatcher.loads
+    loads = second.context.dispatcher.loads
     now = second.context.clock.monotonic
     try:
         async with asyncio.timeout(5):
-            while not book.load(ENDPOINT.endpoint, now()).requests:
+            while not loads.load(ENDPOINT.endpoint, now()).requests:
                 await asyncio.sleep(0.01)
     finally:
         await asyncio.gather(first.close(), second.close())
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_news.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_news.py
@@ -51,10 +51,10 @@
         await asyncio.sleep(ARRIVAL_SECONDS)
         writer.write(sent[-1:])
         await asyncio.sleep(REPORT_DELAY_SECONDS)
-        book = entry.context.dispatcher.loads
+        loads = entry.context.dispatcher.loads
         share = EngineShare(EndpointId(full), FULL_LOAD)
         now = entry.context.clock.monotonic()
-        book.apply_update(PeerId('p'), (share,), now, is_full=False)
+        loads.apply_update(PeerId('p'), (share,), now, is_full=False)
         answer = await reader.read()
         writer.close()
     assert answer.endswith(LAST_CHUNK)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
@@ -129,7 +129,7 @@
 
 
 async def test_short_request_stays_without_retry_allowance() -> None:
-    """Guards against moving a request without an allowance for a retry.
+    """Guards against moving a request if the budget permits no retry.
 
     The request could not be sent again. Its caller would see a failure just
     before the answer of the late engine.
@@ -137,8 +137,8 @@
     late = RawEndpoint('e1', answer_after_short_delay)
     idle = RawEndpoint('e2', answer_at_once)
     async with running_entry(STREAM, late, idle) as entry:
-        allowance = entry.context.allowance(MODEL)
-        allowance.bounds = RetryBudgetLimit(ratio=0, slack=0)
+        budget = entry.context.allowance(MODEL)
+        budget.bounds = RetryBudgetLimit(ratio=0, slack=0)
         start_long_prompt(entry, 'e2')
         asking = asyncio.create_task(entry.ask(Prompt='4000'))
         while not late.requests:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_rate_limits.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_rate_limits.py
@@ -49,12 +49,12 @@
 
 async def test_refusal_without_limit_keeps_rate_limit() -> None:
     """Guards against lifting the limit because of a refusal without one."""
-    talk = reply_in_sequence(
+    script = reply_in_sequence(
         full_answer(extra='Limit: 5\r\n'),
         full_answer('', 503, 'Not-Run: 1\r\n'),
         full_answer(),
     )
-    endpoint = RawEndpoint('e1', talk)
+    endpoint = RawEndpoint('e1', script)
     async with running_entry(SAFE, endpoint) as entry:
         limits = entry.context.dispatcher.limits
         lifetime = endpoint.record(SERVICE).lifetime
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_runs.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_runs.py
@@ -54,7 +54,7 @@
     """Guards against failing a safe request whose answer is lost."""
     answers = iter((b'', full_answer('found')))
 
-    async def talk(
+    async def script(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -63,7 +63,7 @@
             raise ConnectionError
         writer.write(answer)
 
-    endpoints = (RawEndpoint('e1', talk), RawEndpoint('e2', talk))
+    endpoints = (RawEndpoint('e1', script), RawEndpoint('e2', script))
     async with running_entry(SAFE, *endpoints) as entry:
         answer = await entry.ask()
     assert answer.endswith(b'found')
@@ -71,8 +71,8 @@
 
 async def test_unsafe_request_that_did_not_run_is_retried() -> None:
     """Guards against failing an unsafe request that a full replica refused."""
-    talk = reply_in_sequence(NOT_RUN, full_answer('recorded'))
-    endpoints = (RawEndpoint('e1', talk), RawEndpoint('e2', talk))
+    script = reply_in_sequence(NOT_RUN, full_answer('recorded'))
+    endpoints = (RawEndpoint('e1', script), RawEndpoint('e2', script))
     async with running_entry(UNSAFE, *endpoints) as entry:
         answer = await entry.ask()
     assert answer.endswith(b'recorded')
@@ -120,8 +120,8 @@
     Two of three replicas have left. Without a retry at the third one, one
     request in seven would be lost until the others return.
     """
-    talk = reply_in_sequence(full_answer('busy', 500), full_answer('found'))
-    async with running_entry(SAFE, RawEndpoint('e1', talk)) as entry:
+    script = reply_in_sequence(full_answer('busy', 500), full_answer('found'))
+    async with running_entry(SAFE, RawEndpoint('e1', script)) as entry:
         answer = await entry.ask()
     assert answer.endswith(b'found')
 
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_whole_answers.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_whole_answers.py
@@ -87,10 +87,10 @@
 
     The next caller would receive it as the answer to its own request.
     """
-    talk = reply_in_sequence(
+    script = reply_in_sequence(
         full_answer('first') + full_answer('extra'), full_answer('second')
     )
-    async with running_entry(SAFE, RawEndpoint('e1', talk)) as entry:
+    async with running_entry(SAFE, RawEndpoint('e1', script)) as entry:
         first = await entry.ask()
         await asyncio.sleep(0.05)
         second = await entry.ask()
@@ -104,7 +104,7 @@
     The bytes before the reset are not the complete body.
     """
 
-    async def talk(
+    async def script(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -114,7 +114,7 @@
         writer.transport.abort()
         raise ConnectionError
 
-    async with running_entry(UNSAFE, RawEndpoint('e1', talk)) as entry:
+    async with running_entry(UNSAFE, RawEndpoint('e1', script)) as entry:
         answer = await entry.ask()
     # On some systems, an abort with no unread bytes closes the connection
     # normally; the answer is complete then.
@@ -146,11 +146,11 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         total = len(first.requests) + len(second.requests)
-        chosen = first_talk if total == 1 else second_talk
+        chosen = first_script if total == 1 else second_script
         await chosen(reader, writer)
 
-    first_talk = first.talk
-    second_talk = second.talk
+    first_script = first.talk
+    second_script = second.talk
     first.talk = reply_in_order
     second.talk = reply_in_order
     async with running_entry(STREAM, first, second) as entry:
@@ -182,7 +182,7 @@
     """Guards against buffering events until the end of the stream."""
     go_on = asyncio.Event()
 
-    async def talk(
+    async def script(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -190,7 +190,7 @@
         await go_on.wait()
         writer.write(chunk(event(1)) + LAST_CHUNK)
 
-    async with running_entry(STREAM, RawEndpoint('e1', talk)) as entry:
+    async with running_entry(STREAM, RawEndpoint('e1', script)) as entry:
         reader, writer = await asyncio.open_connection(HOST, entry.port)
         writer.write(request_bytes(Prompt='1000'))
         early = await asyncio.wait_for(reader.readuntil(b'piece 0'), 5)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/trials.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/trials.py
@@ -61,11 +61,11 @@
 
     def __init__(
         self,
-        own: LocalTrialGrants,
+        local_grants: LocalTrialGrants,
         node: Node,
         membership: Membership,
     ) -> None:
-        self.local_grants = own
+        self.local_grants = local_grants
         self.node = node
         self.membership = membership
         self.log = Log('mesh')
@@ -113,7 +113,7 @@
         """Record that a peer has joined, for the first time or again.
 
         Without this, when a partition of the fleet ends, an entry of one half
-        would repeat a trial of the other half that it has not yet learned of.
+        would repeat a trial of the other half that it does not know yet.
         """
         self._stable_since = now
 
