--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/failures.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/failures.py
@@ -143,9 +143,9 @@
         return added
 
     def _is_alive(self, endpoint: EndpointId, now: float) -> bool:
-        alive_at = self.last_activity_at.get(endpoint)
+        active_at = self.last_activity_at.get(endpoint)
         return (
-            alive_at is not None and now - alive_at <= RECENT_ACTIVITY_SECONDS
+            active_at is not None and now - active_at <= RECENT_ACTIVITY_SECONDS
         )
 
     def _has_own_backoff(self, endpoint: EndpointId, now: float) -> bool:
