--- a/packages/sycamore-core/src/sycamore_core/cli/settings_commands.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/settings_commands.py
@@ -8,7 +8,11 @@
 from ..errors import SettingsError
 from ..ids import ServiceId, WorkspaceId
 from ..settings import SettingsProblemsError, TreeNode
-from ..settings.provenance import EffectiveValue, effective_values, workspace_services
+from ..settings.provenance import (
+    EffectiveValue,
+    effective_values,
+    workspace_services,
+)
 from .documents import check_document, load_tree
 from .exits import ExitCode, report_errors
 from .tables import format_table
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/admission.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/admission.py
@@ -150,7 +150,9 @@
             return 0
         own_settings = self.state.own_settings
         if offer.members and own_settings is not None:
-            spans = split_prompt(offer, own_settings.fleet, own_settings.endpoint)
+            spans = split_prompt(
+                offer, own_settings.fleet, own_settings.endpoint
+            )
             return spans[-1].tokens if spans else 0
         return offer.prompt_tokens + offer.max_output_tokens
 
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/groups/backend.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/groups/backend.py
@@ -81,7 +81,9 @@
         handle: str,
     ) -> AsyncIterator[AnswerChunk]:
         group.check_leases()
-        generating = self.engine.stream_answer(group.offer, gate, seconds, handle)
+        generating = self.engine.stream_answer(
+            group.offer, gate, seconds, handle
+        )
         async with aclosing(generating) as pieces:
             async for piece in pieces:
                 group.check_leases()
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/message_handler.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/message_handler.py
@@ -62,7 +62,9 @@
         """Handle the messages of one peer until cancelled."""
         while True:
             received = await peer.next_message()
-            self.owners.record_message(owner_of(peer), self.runner.clock.monotonic())
+            self.owners.record_message(
+                owner_of(peer), self.runner.clock.monotonic()
+            )
             try:
                 self._dispatch(received, peer)
             except SycamoreError as error:
--- a/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
+++ b/packages/sycamore-endpoint/src/sycamore_endpoint/runner.py
@@ -165,7 +165,9 @@
     async def _release_memory(self, record: RunRecord) -> None:
         key = LeaseKey(LeaseKind.RUN, record.request_id)
         answer = record.answer
-        complete = answer is not None and answer.is_closed and _is_complete(record)
+        complete = (
+            answer is not None and answer.is_closed and _is_complete(record)
+        )
         if complete or record.execution is Execution.NOT_RUN:
             self.memory.release(key, self.clock.monotonic())
             return
