--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/asked_rests.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/asked_rests.py
@@ -16,8 +16,8 @@
 the probe and other requests may follow.
 
 Backoffs are not reported to peers. The endpoint requested the backoff from this
-entry only. If all entries applied it, they would leave the endpoint, and return
-to it, at the same moment.
+entry only. If all entries applied it, they would stop sending to the endpoint,
+and start again, at the same moment.
 """
 
 import msgspec
@@ -44,7 +44,7 @@
         End of the backoff, on the monotonic clock, in seconds.
     probe_sent_at
         When the first request after the backoff was sent, on the monotonic
-        clock, in seconds; None if none was sent yet.
+        clock, in seconds; None if no request was sent since.
     """
 
     until: float
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/cells.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/cells.py
@@ -3,16 +3,17 @@
 Load pattern: 68 entries in five availability zones serve 170 engines. Each
 zone receives 60 short requests per second, and a prompt of several hundred
 thousand tokens arrives every second. An entry receives the report of another
-entry's request about 20 ms after it was sent, and later from farther away.
+entry's request about 20 ms after the request was sent, and later if the other
+entry is farther away.
 
 Without cells, all entries choose among all engines. Each entry has to report
 every request to all others, so the traffic grows with the square of the number
 of entries, and a decision compares dozens of engines that are equivalent.
 
 A cell is an availability zone. The entries of a cell report to one another at
-once and place on the engines of their cell first. The reports that an entry
-has of other cells are about a second old. The entry uses engines of other
-cells only where a plan in its own cell would miss an objective.
+once and place requests on the engines of their cell first. The reports that an
+entry has of other cells are about a second old. The entry uses engines of other
+cells only if the best plan in its own cell would miss an objective.
 """
 
 from collections.abc import Sequence
@@ -30,14 +31,15 @@
 #: fraction of the request's own weight. Below it, no objective is missed.
 _SHORT_SPILL_FRACTION = 0.15
 #: The same for a long prompt: other cells are considered only if its own
-#: objective is almost certainly missed. Its parts go ahead of the prompts that
-#: engines read, so the load that is not reported yet misses objectives there.
-#: If long prompts spilled as early as short requests, they would make more
-#: answers late in the other cell than they save in their own.
+#: objective is almost certainly missed. The parts of a long prompt go ahead of
+#: all prompts that are queued at an engine. In another cell, some of these are
+#: not reported yet, and they would miss their objectives. If long prompts
+#: spilled as early as short requests, they would make more answers late in the
+#: other cell than they save in their own.
 _LONG_SPILL_FRACTION = 0.6
-#: Added to the cost of each engine of another cell, in missed objectives. Its
-#: load was reported a second ago, and dozens of short requests have arrived
-#: since.
+#: Added to the cost of each engine of another cell, in missed objectives. The
+#: load of such an engine was reported about a second ago, and dozens of short
+#: requests have arrived since.
 _REMOTE_CELL_COST = 0.05
 
 
@@ -93,7 +95,9 @@
     costs: EngineCosts,
     now: float,
 ) -> ReadPlan | None:
-    """Return the plan with the lowest cost; None if no engine has a slot.
+    """Return the plan with the lowest cost.
+
+    None if no engine has a free slot, or if the memory does not suffice.
 
     Parameters
     ----------
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_records.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_records.py
@@ -7,8 +7,8 @@
 from ...ids import ContentDigest
 from ...routing import CrashReport, EndpointLifetime
 
-#: If more than this many endpoints crash within this time, in seconds, the
-#: cause is not one request.
+#: If more than `MAX_SIMULTANEOUS_CRASHES` endpoints crash within this time, in
+#: seconds, no single request is assumed to be the cause.
 _MASS_CRASH_SECONDS = 0.5
 MAX_SIMULTANEOUS_CRASHES = 5
 #: Upper bound of the crashes that are stored for one content. Further crashes
@@ -17,7 +17,7 @@
 
 
 class Crash(msgspec.Struct):
-    """One crash of an endpoint while a request was there.
+    """One crash of an endpoint that was running a request.
 
     Attributes
     ----------
@@ -26,7 +26,8 @@
     had_just_begun
         Whether the request had run for a moment at most.
     is_cleared
-        Whether the request was answered since, so that it is not the cause.
+        Whether the request was answered after the crash, so that it is not
+        the cause.
     """
 
     at: float
@@ -64,7 +65,7 @@
 
     @property
     def last_crash_at(self) -> float:
-        """When an endpoint last crashed, on the monotonic clock."""
+        """When an endpoint last crashed, on the monotonic clock, in seconds."""
         return max(crash.at for crash in self.crashes.values())
 
     @property
@@ -171,7 +172,7 @@
         self._recent: dict[EndpointLifetime, float] = {}
 
     def record(self, endpoint: EndpointLifetime, now: float) -> bool:
-        """Record a crash; return whether many endpoints crash with it."""
+        """Record a crash; return whether too many crashes coincide with it."""
         start = now - _MASS_CRASH_SECONDS
         self._recent = {
             crashed_endpoint: at
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_registry.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_registry.py
@@ -1,4 +1,4 @@
-"""Crashes by request content, and the reports of them that peers receive."""
+"""Crashes by request content, and the reports of crashes to peers."""
 
 from collections.abc import Iterable
 
@@ -7,14 +7,15 @@
 from ...routing import CrashReport
 from .crash_records import CrashRecord, Suspects, build_reports
 
-#: Crashes of one content above which it is quarantined, whatever other requests
-#: ran at the endpoints.
+#: Number of crashes above which a content is quarantined, whatever other
+#: requests ran at the endpoints.
 MAX_CRASHES_ALLOWED = 2
-#: Sum of shares in crashes from which on a content is quarantined: two crashes
-#: with no other suspect, or one such crash and one with another suspect.
+#: Sum of shares in crashes at which a content is quarantined: two crashes with
+#: no other suspect, or one such crash and one with another suspect.
 _MIN_CRASH_SHARES = 1.5
 #: How long a crash counts, in seconds. Within this time operators repair or
-#: replace the model; a further trial then costs one or two endpoints.
+#: replace the model. A further trial after this time crashes one or two
+#: endpoints.
 QUARANTINE_SECONDS = 900.0
 #: Upper bound of the contents that are stored.
 MAX_CONTENTS = 256
@@ -30,7 +31,7 @@
 
 
 class CrashRegistry:
-    """Contents that were at endpoints when these crashed.
+    """Contents that endpoints were running when they crashed.
 
     Attributes
     ----------
@@ -71,7 +72,7 @@
         content: ContentDigest,
         now: float,
     ) -> CrashRecord | None:
-        """Return the record of a content to quarantine or try, if any."""
+        """Return the record of a content if it has enough crashes."""
         record = self.find(content, now)
         if record is None or not self.has_enough_crashes(record):
             return None
@@ -87,8 +88,8 @@
     def merge(self, report: CrashReport, now: float) -> None:
         """Add a report of a crash.
 
-        A report never takes back what is known of a crash: `had_just_begun`
-        and `is_cleared` stay true once they are.
+        A report never makes `had_just_begun` or `is_cleared` of a known crash
+        false again.
         """
         if report.age >= QUARANTINE_SECONDS:
             return
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_harm.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_harm.py
@@ -38,8 +38,8 @@
 #: would only rank engines that are otherwise equivalent, and work would
 #: accumulate on a few of them.
 _BACKLOG_MS_PER_MISS = 3000.0
-#: Largest cost that separates equivalent engines, in missed objectives, so
-#: that two entries choose different engines at the same moment.
+#: Largest cost that separates equivalent engines, in missed objectives. It
+#: makes two entries choose different engines at the same moment.
 _TIE_BREAK_COST = 0.004
 #: The same for a short request that one engine serves alone. It exceeds the
 #: packing cost, so that each entry packs its engines in its own order. With
@@ -49,8 +49,8 @@
 _SHORT_TIE_BREAK_COST = 0.06
 #: Fraction of the memory that plans leave free, as answers vary in length.
 _MEMORY_RESERVE_FRACTION = 0.05
-#: Mean fraction of an engine's pending work that the first pause of a new
-#: stream lasts. The stream can begin at any moment of that work.
+#: Mean duration of the first pause of a new stream, as a fraction of the
+#: engine's pending work. The stream can begin at any moment of that work.
 _MEAN_PAUSE_FRACTION = 0.5
 
 
@@ -181,10 +181,10 @@
         """Return the cost of a prompt that is read after the queued prompts.
 
         The pause of a request that is queued on an engine without streams is
-        included. Without this, a short request that was just sent counts for
+        included. Without this, a short request that was just sent would cost
         nothing until its first event arrives. A prompt that is placed behind
-        it is read in the first pass of its answer, and the answer pauses for
-        the whole reading time.
+        the short request is read in the first pass of the short answer, which
+        then pauses for the whole reading time.
         """
         forecast = self.forecast
         if forecast.is_generating:
@@ -261,6 +261,6 @@
     after_ms: float,
     safe_fraction: float,
 ) -> float:
-    """Return the added loss when a duration grows against its objective."""
+    """Return the added loss if a duration grows beyond its present value."""
     before = lateness_cost(before_ms / objective_ms, safe_fraction)
     return lateness_cost(after_ms / objective_ms, safe_fraction) - before
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_work.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_work.py
@@ -38,12 +38,12 @@
     is_primary
         Whether this engine generates the answer.
     is_ahead
-        Whether it is a part of a split prompt. Engines read such parts ahead
+        Whether this is a part of a split prompt. Engines read such parts ahead
         of all others, including earlier parts.
     is_generating
         Whether the first token has arrived.
     sent_at
-        Time at which it was sent, on the monotonic clock.
+        Time at which the request was sent, on the monotonic clock.
     """
 
     read_ms: float
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/load_registry.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/load_registry.py
@@ -80,7 +80,8 @@
     short_requests
         Arrivals and residence times of this entry's short requests.
     changed
-        Endpoints at which own work has begun or ended since `pop_changed`.
+        Endpoints at which this entry's work has changed since the last call
+        of `pop_changed`.
     peer_loads
         Load that each peer reports for an engine.
     cell_loads
@@ -143,11 +144,12 @@
             load = self._own_load(endpoint, now)
             load.add(total.load, now - total.reported_at)
             return load
-        return self._load_in_cell(endpoint, now)
+        return self._load_from_cell(endpoint, now)
 
     def report_age(self, endpoint: EndpointId, now: float) -> float | None:
-        """Return the age of the oldest report that `load` uses, in seconds.
+        """Return the age of the oldest report of an engine, in seconds.
 
+        Reports of silent peers are included, although `load` ignores them.
         None if there is no report of the engine.
         """
         total = self.cell_loads.get(endpoint)
@@ -236,7 +238,10 @@
         )
 
     def remove_peer(self, peer: PeerId) -> None:
-        """Remove the reports of a peer that has restarted or is gone."""
+        """Remove all reports of a peer.
+
+        The peer is gone, has restarted, or sends a full update.
+        """
         record = self.peers.pop(peer, None)
         if record is None:
             return
@@ -268,14 +273,15 @@
     ) -> tuple[EngineShare, ...]:
         """Return the work of this entry and its peers at some engines.
 
-        The receiver's own work is left out. The receiver has newer figures
-        and would count twice the requests that it has just sent.
+        The receiver's own work is left out, because the receiver adds it from
+        its own newer figures, see `load`. Otherwise these requests would be
+        counted twice.
 
-        Idle engines are left out too. A silent peer still has a record at
-        them, but its reports no longer count.
+        Idle engines are left out too. An engine can be idle although a silent
+        peer has reported work there, because such reports are ignored.
         """
         loads = {
-            endpoint: self._load_in_cell(endpoint, now, receiver)
+            endpoint: self._load_from_cell(endpoint, now, receiver)
             for endpoint in endpoints
         }
         return tuple(
@@ -284,12 +290,13 @@
             if not load.is_idle
         )
 
-    def _load_in_cell(
+    def _load_from_cell(
         self,
         endpoint: EndpointId,
         now: float,
         excluded: PeerId | None = None,
     ) -> EngineLoad:
+        """Return the load that this entry and its peers put on an engine."""
         load = self._own_load(endpoint, now)
         for peer, report in self.peer_loads.get(endpoint, _NO_REPORTS).items():
             is_fresh = now - self.peers[peer].reported_at < STALE_SECONDS
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/pass_forecast.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/pass_forecast.py
@@ -1,15 +1,16 @@
 """When an engine accepts new work, and when it has read its prompts.
 
 An engine works in passes and accepts new work between two passes. While the
-engine generates, a pass makes many steps and reads the prompts that were
-present when the pass began. A prompt that arrives later waits for the end of
-the pass, and all first tokens and events of a pass are emitted at its end. An
-engine that only reads begins a pass with each chunk: parts of split prompts go
-ahead of the queue at once, the latest first.
+engine generates, a pass consists of many decoding steps and of reading the
+prompts that were present when the pass began. A prompt that arrives later waits
+for the end of the pass, and all first tokens and events of a pass are emitted
+at its end. An engine that only reads begins a new pass with each chunk of a
+prompt. Parts of split prompts therefore go ahead of the queue at once, the
+latest part first.
 
 If each part were assumed to be read at once, reading would take up to three
-times as long as expected, and all later decisions would start from a wrong
-state.
+times as long as expected, and all later decisions would be based on a wrong
+load.
 """
 
 import math
@@ -85,7 +86,7 @@
 
 
 def nominal_forecast(load: EngineLoad, costs: EngineCosts) -> PassForecast:
-    """Return the forecast for an engine that keeps to its cost figures."""
+    """Return the forecast for an engine that is as fast as its cost figures."""
     if load.writers:
         pass_ms = costs.pass_ms(load.writers, load.context_tokens)
         return _forecast_generating(load.unread, pass_ms)
@@ -96,7 +97,7 @@
     unread: Sequence[UnreadPrompt], pass_ms: float
 ) -> PassForecast:
     """Return the forecast of an engine that generates."""
-    # Simulates the passes from the first prompt on. The current time is 0.
+    # Simulates the passes from the oldest prompt on. The current time is 0.
     queue = sorted(unread, key=_sent_ms)
     begins = -math.inf
     ends = -math.inf
@@ -111,7 +112,7 @@
         queue = queue[len(admitted) :]
         ends = begins + pass_ms + _read_ms(admitted)
     if ends <= 0:
-        # The last pass has ended, so none of its answers is still to begin.
+        # The last pass has ended, so all its answers have begun.
         admitted = []
     forecast = PassForecast(
         pass_ms=pass_ms,
@@ -185,7 +186,7 @@
 
 
 def _overdue_ms(unread: Iterable[UnreadPrompt]) -> float:
-    """Return the estimated time of overdue reading, in milliseconds.
+    """Return the estimated time until overdue reading ends, in milliseconds.
 
     Parts of split prompts are left out: the prompt may be waiting for another
     engine.
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/quarantine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/quarantine.py
@@ -10,21 +10,23 @@
 is down.
 
 A request is identified by its content. A request is quarantined at all entries
-after three crashes of endpoints at which it was. Two crashes suffice if it had
-just begun to run: such requests usually crash an endpoint as they begin, and
-few other requests have just begun at that moment. Each crash counts in equal
-shares for all requests that had just begun there, because they often move on to
-the next endpoint together, and a popular request is at every endpoint. Entries
-report crashes to their peers, and each entry counts a crash once, whichever
-entry observed it. An answer clears a content of all earlier crashes that are
-known; these then count for the other suspects only.
-
-If many endpoints crash at the same time, the cause is not a request, and the
-crashes are not recorded.
+after three crashes of endpoints that were running it. Two crashes suffice if it
+had just begun to run: a request that crashes endpoints usually does so as it
+begins, and few other requests have just begun at that moment. Each crash counts
+in equal shares against all requests that had just begun there, because they are
+often retried together at the next endpoint, and a popular request runs at every
+endpoint. Entries report crashes to their peers, and each entry counts a crash
+once, whichever entry observed it. If a request is answered completely, all
+earlier known crashes stop counting against its content, and count against the
+other suspects only.
+
+If many endpoints crash at the same time, no single request is assumed to be the
+cause, and further crashes are not recorded.
 
 The length of a quarantine follows from the number of crashes of three kinds:
 "sole" (the only request that had just begun), "shared" (another request had
-just begun as well), and "later" (the request had run for a while).
+just begun as well), and "later" (the request had run for a while). A quarantine
+begins when the sum of shares reaches one and a half, or at the third crash.
 
 =====  ======  =====  ====================================================
 sole   shared  later  quarantine
@@ -40,7 +42,7 @@
 up to the full length.
 
 A request in a short quarantine may be a bystander, such as a popular request
-that was at every endpoint. After the quarantine it is therefore sent in a
+that ran at every endpoint. After the quarantine it is therefore sent in a
 trial, one attempt in the whole fleet (see `trials`). A bystander gets an answer
 and is then accepted at all entries.
 """
@@ -57,9 +59,9 @@
 )
 from .trials import seconds_to_trial
 
-#: Crashes with a content as the only suspect from which on it is the certain
-#: cause. One does not suffice: the entry that had sent the actual cause may
-#: have died before it reported this.
+#: Number of crashes with a content as the only suspect after which the content
+#: counts as the certain cause. One crash does not suffice: another entry may
+#: have sent the actual cause and died before it reported the crash.
 _CONCLUSIVE_CRASHES = 2
 #: Quarantine of a content that may be a bystander, in seconds. Crashed
 #: endpoints are back by then. Each further crash multiplies the time.
@@ -97,7 +99,7 @@
         *,
         had_just_begun: bool,
     ) -> None:
-        """Record that an endpoint crashed with a request of this entry.
+        """Record a crash of an endpoint that ran a request of this entry.
 
         Parameters
         ----------
@@ -205,7 +207,7 @@
 
 
 def _short_quarantine_seconds(crashes: int) -> float:
-    """Return the quarantine of a content that may be a bystander."""
+    """Return the length of a short quarantine, in seconds."""
     further = max(0, crashes - MAX_CRASHES_ALLOWED - 1)
     return min(
         QUARANTINE_SECONDS,
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/rate_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/rate_limits.py
@@ -1,18 +1,18 @@
 """Rate limits that endpoints request, enforced by all entries together.
 
-Load pattern: an endpoint in difficulty requests a limit of about one request
-per second, and repeats it in each answer. Dozens of entries place requests by
-load.
+Load pattern: an endpoint that cannot serve its usual rate requests a limit of
+about one request per second, and repeats the limit in each answer. Dozens of
+entries place requests by load.
 
 Without this, an endpoint that requests a lower rate looks idle and gets more
 requests.
 
-The limit applies to all entries together, and is less than one request in ten
-seconds for each of them. An equal share for each entry would leave nearly all
-of the rate unused, because callers arrive at different entries over time.
-Entries therefore report to their peers what they have sent, and each entry
-sends while the sum is below the limit. Entries that receive reports from a part
-of the fleet only use the corresponding part of the rate.
+The limit applies to all entries together. Divided among dozens of entries, it
+is less than one request in ten seconds for each. Equal shares would leave
+nearly all of the rate unused, because callers arrive at different entries over
+time. Entries therefore report to their peers what they have sent, and each
+entry sends while the sum is below the limit. An entry that receives reports
+from only a part of the fleet uses only the corresponding part of the rate.
 
 If all entries have more requests than the rate permits, all of them would send
 as soon as there is capacity again, before they receive each other's reports.
@@ -37,12 +37,13 @@
 #: How long a limit is valid without a further answer that repeats it, in
 #: seconds. An endpoint in use repeats the limit in each answer.
 LIMIT_VALID_SECONDS = 30.0
-#: Windows over which the rate is enforced, in seconds. The longer one does not
-#: smooth the load; the shorter one prevents all requests from coming at once.
+#: Windows over which the rate is enforced, in seconds. The longer window alone
+#: would let all its requests come at once; the shorter one prevents this.
 WINDOWS = (2.0, 4.0)
-#: Upper bound of the jitter, in seconds, and its increase for each entry: about
-#: the time in which an entry receives the report of another one.
+#: Upper bound of the jitter, in seconds.
 MAX_JITTER_SECONDS = 1.0
+#: Increase of the largest jitter for each further entry, in seconds: about the
+#: time until an entry receives another entry's report.
 _JITTER_PER_ENTRY = 0.03
 #: Time after which the order of the entries' jitters changes, in seconds.
 _JITTER_PERIOD_SECONDS = 4.0
@@ -161,7 +162,7 @@
 
         Other requests in the meantime are not taken into account.
         """
-        delays = (AGE_BUCKET_SECONDS * slot for slot in range(AGE_BUCKETS))
+        delays = (AGE_BUCKET_SECONDS * step for step in range(AGE_BUCKETS))
         possible = (
             delay for delay in delays if self.has_room(endpoint, now + delay)
         )
@@ -213,9 +214,9 @@
         self._drop_expired(now)
         found = []
         for lifetime, reported in self.reported.items():
-            slots = self.own_sends.counts_by_age(lifetime, now)
-            if any(slots) or now - reported.reported_at < _RECENT_SECONDS:
-                found.append(self._build_report(lifetime, now, slots))
+            counts = self.own_sends.counts_by_age(lifetime, now)
+            if any(counts) or now - reported.reported_at < _RECENT_SECONDS:
+                found.append(self._build_report(lifetime, now, counts))
         return tuple(found)
 
     def summary(
@@ -224,7 +225,7 @@
         now: float,
         receiver: PeerId,
     ) -> tuple[LimitReport, ...]:
-        """Return the sends of all entries except the receiver's.
+        """Return the limits, with the sends of all entries but the receiver.
 
         Parameters
         ----------
@@ -242,10 +243,11 @@
         )
 
     def _jitter(self, endpoint: EndpointLifetime, now: float) -> float:
-        """Return the extra time before this entry sends, in seconds.
+        """Return the time by which the windows are lengthened, in seconds.
 
         The hash covers the text form of the endpoint lifetime, which contains
-        its class and field names.
+        its class and field names. If one of these is renamed, the jitters of
+        all entries change.
         """
         max_jitter = min(
             MAX_JITTER_SECONDS, _JITTER_PER_ENTRY * (self.entry_count - 1)
@@ -277,11 +279,11 @@
         self,
         endpoint: EndpointLifetime,
         now: float,
-        slots: list[int],
+        counts: list[int],
     ) -> LimitReport:
         reported = self.reported[endpoint]
         age = round(now - reported.reported_at, 3)
-        return LimitReport(endpoint, reported.per_second, age, tuple(slots))
+        return LimitReport(endpoint, reported.per_second, age, tuple(counts))
 
     def _total_sends(
         self,
@@ -294,7 +296,7 @@
         for peer, sends in self.peer_sends.get(endpoint, {}).items():
             if peer != excluded_peer:
                 by_sender.append(sends.counts_at(now))
-        return [sum(slot) for slot in zip(*by_sender, strict=True)]
+        return [sum(bucket) for bucket in zip(*by_sender, strict=True)]
 
     def _drop_expired(self, now: float) -> None:
         """Drop the limits that no answer repeated, with the peers' sends."""
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/read_plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/read_plan.py
@@ -1,21 +1,25 @@
 """Which engines read a prompt, and which of them generates the answer.
 
 Load pattern: short requests, each with a few tens of milliseconds of reading,
-arrive many times as often as prompts whose reading takes seconds. An engine
-reads between the tokens of other requests. A long read therefore lengthens the
-pauses of all streams on the engine, and a short request that arrives behind it
-waits for it. Parts of a split prompt are read ahead of all other prompts of an
-engine, so that a new part delays all prompts that were begun there.
-
-If requests were placed by the lowest number of requests alone, one engine
-would read a whole prompt of 154,000 tokens in 3 s. That exceeds the prompt's
-own objective, and each short answer on the engine pauses for 3 s. Prompts that
-exceed the memory of an engine would never be served.
-
-A prompt is read in equal parts by the number of engines that costs least. The
-cost is counted in streams that miss their objective. Parts of 100 ms delay no
-stream beyond its objective; a part of 500 ms goes to engines without streams.
-Short answers are packed onto some of the engines, up to `PACKED_STREAMS`, so
+arrive many times as often as prompts whose reading takes seconds. Reading a
+prompt means its prefill. An engine reads between the tokens that it generates
+for other requests. A long read therefore lengthens the pauses in all answers
+that the engine generates (streams), and a short request that arrives after the
+long prompt waits until the prompt has been read. Parts of a split prompt are
+read ahead of all other prompts of an engine. A new part therefore delays all
+prompts that the engine has not finished reading.
+
+If each request were placed on the engine with the fewest requests, one engine
+would read a whole prompt of 154,000 tokens in 3 s. This time exceeds the
+objective of the prompt (the time allowed until its first token), and each short
+answer on the engine would pause for 3 s. Prompts that exceed the memory of an
+engine would never be served.
+
+A prompt is split into equal parts, one for each engine that reads it. The
+number of engines is the one with the lowest cost, which is counted in short
+requests that miss their objective. Parts of 100 ms delay no stream beyond its
+objective; a part of 500 ms goes to engines without streams. Short requests are
+packed onto some of the engines, up to `engine_harm.PACKED_STREAMS` on each, so
 that the others stay free for long parts. Short requests that are expected to
 arrive count as well, see `PredictedDemand`.
 """
@@ -37,36 +41,38 @@
 
 #: Maximum number of helpers of a prompt, as engines accept no more.
 MAX_HELPERS = 16
-#: Reading time up to which a prompt is not split, in milliseconds. Each part
-#: costs a message to another engine, and a part that is shorter than a pass
-#: saves no time.
+#: Reading time up to which a prompt counts as short, in milliseconds. A short
+#: prompt has one helper at most: each part costs a message to another engine,
+#: and a part that is shorter than a forward pass of the engine saves no time.
 MIN_SPLIT_MS = 90.0
-#: Cost of each engine that takes part, in missed objectives. It breaks ties in
-#: favour of fewer engines. With a higher cost, engines would be idle although
-#: they could read a part of the prompt and finish it sooner.
-_PART_COST = 0.004
+#: Cost of each helper, in missed objectives. It breaks ties in favour of fewer
+#: engines. With a higher cost, engines would be idle although they could read a
+#: part of the prompt, so that it is read sooner.
+_HELPER_COST = 0.004
 #: Cost up to which one engine reads a short request alone, in missed
 #: objectives. Above it, one helper is allowed: the halves are read ahead of
 #: long prompts that would delay the short request.
 _SHORT_SPLIT_COST = 0.15
-#: Time that the network and the entry add to the first event, in milliseconds.
+#: Time that the network and the entry add until the caller receives the first
+#: event of the answer, in milliseconds.
 OVERHEAD_MS = 15.0
-#: Cost of a first event at the end of its objective relative to an immediate
-#: one, as a fraction of the cost of a missed objective. A prompt that is read
-#: sooner is delayed by fewer later ones.
+#: Cost of a first event that uses up its whole objective, as a fraction of the
+#: cost of a missed objective. It favours early reading: a prompt that is read
+#: sooner is delayed by fewer prompts that arrive later.
 _LATENCY_COST = 0.03
 #: Value of an answer whose first event is late, as a fraction of the value of
-#: a timely one. Operators credit late answers with a quarter to a third.
+#: a timely one. Operators value late answers at a quarter to a third.
 LATE_VALUE_FRACTION = 0.25
-#: Fraction of the caller's time that a late first event can use up without
-#: cost. The rest of the answer has to fit into the caller's time as well.
+#: Fraction of the caller's time limit (`limit_ms`) that can pass before the
+#: first event without cost. The rest of the answer has to fit into the time
+#: limit as well.
 _SAFE_LIMIT_FRACTION = 0.4
 _MS = 1000.0
 _NO_DEMAND = PredictedDemand()
 
 
 def is_short_request(costs: EngineCosts, prompt_tokens: int) -> bool:
-    """Return whether a prompt is short, so that one engine reads it alone."""
+    """Return whether a prompt is short, so that it has one helper at most."""
     return costs.read_ms(prompt_tokens) <= MIN_SPLIT_MS
 
 
@@ -76,7 +82,9 @@
     costs: EngineCosts,
     demand: PredictedDemand = _NO_DEMAND,
 ) -> ReadPlan | None:
-    """Return the plan with the lowest cost; None if no engine has a slot.
+    """Return the plan with the lowest cost.
+
+    None if no engine has a free slot, or if the memory does not suffice.
 
     Parameters
     ----------
@@ -138,12 +146,12 @@
         if not fitting:
             return None
         costs = [self._alone_cost(primary, read_ms) for primary in fitting]
-        ties = [
+        tie_breaks = [
             primary.short_tie_break if self.is_short else 0
             for primary in fitting
         ]
-        ranks = list(map(sum, zip(costs, ties, strict=True)))
-        chosen = ranks.index(min(ranks))
+        totals = list(map(sum, zip(costs, tie_breaks, strict=True)))
+        chosen = totals.index(min(totals))
         primary = fitting[chosen]
         cost = costs[chosen]
         expected = _expected_ms((primary,), read_ms)
@@ -195,7 +203,7 @@
 
     def _plan_split(self, part_ms: float, parts: int) -> ReadPlan | None:
         """Return the plan with a number of parts, read ahead of the queues."""
-        # One engine more than needed, in case the primary is not among them.
+        # The first `parts` engines suffice: the last one is never a helper.
         ranked = heapq.nsmallest(
             parts + 1,
             self.engines,
@@ -232,7 +240,7 @@
         cost += _delay_cost(members, part_ms) + self._overflow_cost(
             members, part_ms
         )
-        return cost + _PART_COST * (len(members) - 1)
+        return cost + _HELPER_COST * (len(members) - 1)
 
     def _lateness_cost(self, expected_ms: float) -> float:
         objective = max(1, self.request.objective_ms)
@@ -240,10 +248,10 @@
         late = lateness_cost(
             used, SAFE_FIRST_EVENT_FRACTION
         ) + _LATENCY_COST * min(1, used)
-        # Accounts for callers that leave. Without this term, a prompt that is
-        # read again after its objective has passed seems to have nothing left
-        # to lose: three engines read it in nine seconds, and its caller leaves
-        # meanwhile.
+        # Accounts for callers that disconnect. Without this term, a prompt that
+        # is read again after its objective has passed would cost the same
+        # however late it is. Three engines would read it in nine seconds, and
+        # its caller would disconnect meanwhile.
         lost = lateness_cost(
             expected_ms / self.request.limit_ms, _SAFE_LIMIT_FRACTION
         )
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/recent_sends.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/recent_sends.py
@@ -11,7 +11,7 @@
 #: Width of the age buckets in which sent requests are reported, in seconds.
 AGE_BUCKET_SECONDS = 0.25
 #: Number of age buckets. They cover the longest window of a rate limit and the
-#: time that an entry waits beyond it.
+#: jitter that an entry adds to the window.
 AGE_BUCKETS = 20
 _RETENTION_SECONDS = AGE_BUCKETS * AGE_BUCKET_SECONDS
 
@@ -72,19 +72,19 @@
     sends
         Number of sent requests in each age bucket.
     at
-        Time of the report, on the monotonic clock.
+        Time at which the report arrived, on the monotonic clock, in seconds.
     """
 
     sends: tuple[int, ...]
     at: float
 
     def count_within(self, seconds: float, now: float) -> int:
-        """Return an upper bound of the requests sent in the last seconds."""
+        """Return an upper bound of the requests sent in the last `seconds`."""
         remaining = max(0, seconds - (now - self.at))
         return sum(self.sends[: math.ceil(remaining / AGE_BUCKET_SECONDS)])
 
     def counts_at(self, now: float) -> list[int]:
-        """Return the numbers by the present age of the requests."""
+        """Return the number of sent requests in each age bucket at a time."""
         elapsed = int((now - self.at) / AGE_BUCKET_SECONDS)
         padded = chain(repeat(0, elapsed), self.sends, repeat(0))
         return list(islice(padded, AGE_BUCKETS))
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/return_times.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/return_times.py
@@ -169,8 +169,8 @@
     Parameters
     ----------
     slot_seconds
-        Time for which a request occupies a slot. All slots that are occupied
-        now are free again after it.
+        Time for which a request occupies a slot. After this time, all slots
+        that are occupied now are free again.
 
     Examples
     --------
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/suspect_places.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/suspect_places.py
@@ -1,7 +1,7 @@
 """Endpoints at which requests suspected of the same crash are in progress.
 
-Load pattern: an endpoint crashes while eight requests are there, one of which
-is the cause. All of them are retried at another endpoint within a millisecond.
+Load pattern: an endpoint crashes while it runs eight requests, one of which is
+the cause. All of them are retried at another endpoint within a millisecond.
 
 Without this, all are retried at the same endpoint, the least loaded one. It
 crashes as well, and the second crash does not show the cause, because each
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_limits.py
@@ -11,7 +11,7 @@
 from ....routing import EndpointLifetime
 from ..rate_limits import RateLimits
 
-#: Time until an entry receives another one's report of its sends, in seconds.
+#: Time until an entry receives another entry's report of sends, in seconds.
 REPORT_DELAY_SECONDS = 0.03
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_trials.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/builders_trials.py
@@ -18,7 +18,7 @@
 
 CRASHING = ContentDigest(b'crashing request')
 BYSTANDER = ContentDigest(b'ordinary request')
-#: Time until an entry receives another one's reports, in seconds.
+#: Time until an entry receives another entry's reports, in seconds.
 REPORT_DELAY_SECONDS = 0.03
 #: Time until the entry knows that an endpoint has crashed, in seconds.
 CRASH_SECONDS = 0.15
@@ -28,7 +28,7 @@
 
 
 class TrialLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Arrivals of two requests that were both at three crashes."""
+    """Arrivals of two requests that three crashes have in common."""
 
     entries: int = 5
     crashing_per_s: float = 3
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_loads.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_loads.py
@@ -163,7 +163,8 @@
     load = registry.cell_shares([ENGINE], 10, OTHER_PEER)[0].load
     assert load.requests == 6
     weights = {
-        promise.pause_ms: promise.weight for promise in load.pause_objectives
+        objective.pause_ms: objective.weight
+        for objective in load.pause_objectives
     }
     assert weights == {250: 4, 800: 2}
 
@@ -183,8 +184,8 @@
 def test_report_of_a_silent_peer_is_not_forwarded() -> None:
     """A peer is cut off after it has sent work to an engine of this cell.
 
-    If its work were reported to other cells, they would avoid the engine for
-    good.
+    If this work were reported to other cells, they would avoid the engine
+    permanently.
     """
     registry = LoadRegistry()
     registry.apply_update(PEER, [share(requests=3)], now=10, is_full=False)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_overdue.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_overdue.py
@@ -1,4 +1,4 @@
-"""Whether what is known explains that a prompt has not been read yet."""
+"""Tests of `is_overdue`: the known load may explain an unread prompt."""
 
 import pytest
 
@@ -39,8 +39,10 @@
 
 
 @pytest.mark.parametrize('engine', ENGINES)
-def test_later_part_of_a_peer_explains_the_delay(engine: EndpointId) -> None:
-    """Another entry places a part of two seconds on one of the engines.
+def test_part_that_a_peer_sent_later_explains_the_delay(
+    engine: EndpointId,
+) -> None:
+    """Another entry then sends one of the engines two seconds of reading.
 
     If the engine were considered faulty, the prompt would be read twice.
     """
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_pass_forecast.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_pass_forecast.py
@@ -32,9 +32,9 @@
 def test_generating_engine_accepts_work_between_passes_only() -> None:
     """An engine that generates short answers reads a long part.
 
-    A short request that is sent there waits for the end of this pass. If it
-    were assumed to be read beside the part, its first token would be expected
-    a second too early.
+    A short request that is sent there waits for the end of this pass. If the
+    request were assumed to be read beside the part, its first token would be
+    expected a second too early.
     """
     forecast = forecast_passes(
         generating_load(unread_part('long', 1500, waited_ms=200)), COSTS
@@ -55,7 +55,7 @@
         unread_part('second', 300, waited_ms=100),
     )
     forecast = forecast_passes(load, COSTS)
-    assert [one.key for one in forecast.waiting] == ['second']
+    assert [prompt.key for prompt in forecast.waiting] == ['second']
     interference = EngineInterference(
         engine(1, **as_fields(load)), COSTS, 100_000
     )
@@ -85,9 +85,10 @@
 def test_prompt_behind_a_short_request_lengthens_its_first_pause() -> None:
     """A short request was just sent to an engine without streams.
 
-    Its first event has not arrived yet. If the request counted for nothing
-    until then, a prompt of 50,000 tokens would be placed behind it and read in
-    the first pass of its answer, which would pause for a third of a second.
+    The first event of its answer has not arrived yet. If the request cost
+    nothing until then, a prompt of 50,000 tokens would be placed behind it and
+    read in the first pass of the short answer, which would pause for a third
+    of a second.
     """
     sent = unread_part('turn', 20, waited_ms=10, pause_ms=250)
     interference = EngineInterference(
@@ -100,8 +101,8 @@
 def test_prompt_in_the_same_pass_delays_a_short_request() -> None:
     """A short request waits for the next pass of an engine that generates.
 
-    A prompt that is added to this pass delay_costs the first event of the short
-    request, which is emitted when both are read.
+    A prompt that is added to this pass delays the first event of the short
+    request, which is emitted when both prompts have been read.
     """
     sent = UnreadPrompt('turn', 1, 20, 5, slack_ms=300, pause_ms=250)
     load = generating_load(sent)
@@ -147,7 +148,8 @@
         2, requests=1, writers=1, pause_objectives=(PauseObjective(250, 1),)
     )
     interferences = [
-        EngineInterference(one, COSTS, 200_000) for one in (audit, guest)
+        EngineInterference(candidate, COSTS, 200_000)
+        for candidate in (audit, guest)
     ]
     assert interferences[0].pause_cost(1200) > 10 * interferences[1].pause_cost(
         1200
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_quarantine.py
@@ -56,7 +56,7 @@
 
 
 def test_bystander_answered_between_crashes_is_not_quarantined() -> None:
-    """Guards against the quarantine of a popular request for other crashes."""
+    """Guards against the quarantine of a popular request as a bystander."""
     quarantine = Quarantine()
     for number in range(12):
         crash(quarantine, f'e{number}', 10 + number, BYSTANDER)
@@ -65,7 +65,7 @@
 
 
 def test_cleared_request_is_quarantined_after_further_crashes() -> None:
-    """Guards against a record whose capacity cleared crashes exhaust."""
+    """Guards against a record that is full of cleared crashes."""
     quarantine = Quarantine()
     for number in range(6):
         crash(quarantine, f'e{number}', 10 + number)
@@ -132,7 +132,7 @@
     )
 
 
-def test_quarantine_grows_with_each_crash_after_it() -> None:
+def test_crash_after_a_quarantine_makes_the_next_one_longer() -> None:
     """Guards against a cause that crashes an endpoint after each quarantine."""
     quarantine = Quarantine()
     now, crashes = 10.0, 0
@@ -145,7 +145,7 @@
 
 
 def test_crash_observed_by_two_entries_counts_once() -> None:
-    """Guards against a quarantine after one crash with two callers."""
+    """Guards against counting a crash twice if two entries observed it."""
     first, second = Quarantine(), Quarantine()
     crash(first, 'e1', 10)
     crash(second, 'e1', 10.001)
@@ -183,7 +183,7 @@
 
 
 def test_mass_crash_quarantines_nothing() -> None:
-    """Guards against the quarantine of all requests of a zone that is lost."""
+    """Guards against the quarantine of all requests in a zone that failed."""
     quarantine = Quarantine()
     for number in range(MAX_SIMULTANEOUS_CRASHES * 3):
         content = content_of(number)
@@ -203,7 +203,10 @@
 
 
 def test_many_other_contents_do_not_end_a_quarantine() -> None:
-    """Guards against memory that grows with the contents of callers."""
+    """Guards against memory that grows with the number of contents.
+
+    The number of records is bounded; quarantined contents are dropped last.
+    """
     quarantine = Quarantine()
     crash(quarantine, 'e1', 1)
     crash(quarantine, 'e2', 2)
@@ -215,7 +218,10 @@
 
 
 def test_late_entry_receives_all_crashes_by_rotation() -> None:
-    """Guards against an entry without reports from the time of a partition."""
+    """Guards against crashes that an entry never learns of.
+
+    The entry did not receive the reports that followed these crashes.
+    """
     first, late = Quarantine(), Quarantine()
     for number in range(40):
         content = content_of(number)
@@ -227,7 +233,7 @@
 
 
 def test_summaries_for_other_cells_do_not_advance_the_rotation() -> None:
-    """Guards against contents that are never reported in the own cell."""
+    """Guards against contents that are never reported to peers in the cell."""
     first, late = Quarantine(), Quarantine()
     for number in range(20):
         crash(first, f'e{number}', number, content_of(number))
@@ -235,6 +241,7 @@
     for tick in range(20):
         now = 200 + tick
         late.handle_reports(first.book.rotating_reports(now), now)
+        # The summaries for four other cells.
         for _ in range(4):
             first.book.rotating_reports(now)
     assert late.book.records.keys() == first.book.records.keys()
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
@@ -60,8 +60,8 @@
     request = long_request(LARGEST)
     plan = plan_read(request, idle_engines(18), costs)
     assert plan is not None
-    stored = sum(tokens for _, tokens in plan.helper_tokens)
-    assert stored + memory >= LARGEST + request.answer_tokens
+    helper_tokens = sum(tokens for _, tokens in plan.helper_tokens)
+    assert helper_tokens + memory >= LARGEST + request.answer_tokens
 
 
 def test_no_helper_is_given_more_than_its_memory() -> None:
@@ -94,8 +94,8 @@
 def test_short_request_is_split_if_all_engines_read() -> None:
     """A short request arrives while every engine reads parts of long prompts.
 
-    Unsplit, it would wait behind them for a second. Its parts are read ahead
-    of them and hardly delay the long prompts.
+    Unsplit, the short request would wait behind these parts for a second. Its
+    own parts are read ahead of them and hardly delay the long prompts.
     """
     busy = [reading_engine(number, 900) for number in range(6)]
     plan = plan_for(short_request(), busy)
@@ -184,11 +184,11 @@
 
 
 def test_late_prompt_is_read_before_its_caller_leaves() -> None:
-    """A prompt is read again after an engine fell silent and it is late.
+    """A late prompt is read again because an engine fell silent.
 
-    If only its lateness counted, any number of engines would cost the same. A
-    few engines could read it for longer than its caller waits, and the caller
-    would get no answer.
+    If only the lateness of the prompt counted, any number of engines would
+    cost the same. A few engines could read the prompt for longer than its
+    caller waits, and the caller would get no answer.
     """
     request = msgspec.structs.replace(
         long_request(LARGEST, objective_ms=-2000),
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_trials.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_trials.py
@@ -26,7 +26,7 @@
 
 
 def after_three_crashes(now: float = 10) -> Quarantine:
-    """Return a quarantine of two requests that were at three crashes."""
+    """Return a quarantine of two requests that three crashes have in common."""
     quarantine = Quarantine()
     for number in range(3):
         crash(quarantine, f'e{number}', now)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_worth.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_worth.py
@@ -26,8 +26,8 @@
     """A huge prompt arrives while short requests come at 2.5 times their rate.
 
     Spread over all engines, the prompt would be late nevertheless. About a
-    hundred answers would pause for seconds, and their callers would leave and
-    retry.
+    hundred answers would pause for seconds, and their callers would disconnect
+    and retry.
     """
     plan = plan_read(
         HUGE, generating_engines(13, writers=7), COSTS, BURST_DEMAND
@@ -49,10 +49,10 @@
 
 
 def test_shorter_prompt_past_its_objective_is_read() -> None:
-    """A caller comes back after an outage, past its objective.
+    """A caller retries after an outage, past the objective of its request.
 
-    If shorter prompts were weighed like huge ones, all of them would be
-    refused for good, as all callers come back at once.
+    If shorter prompts were refused like huge ones, all of them would be
+    refused each time, because all callers retry at once.
     """
     request = long_request(40_000, objective_ms=-2000)
     plan = plan_read(
@@ -62,10 +62,10 @@
 
 
 def test_prompt_that_outlasts_its_caller_is_refused() -> None:
-    """A huge prompt comes back with little of its caller's time left.
+    """A huge prompt is retried with little of its caller's time left.
 
-    If it were read, it would occupy engines for seconds, and its caller would
-    have left before the first event.
+    The prompt would occupy engines for seconds, and its caller would have
+    disconnected before the first event.
     """
     request = msgspec.structs.replace(HUGE, objective_ms=-3000, limit_ms=2500)
     fleet = [*idle_engines(14), *generating_engines(4)]
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/trials.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/trials.py
@@ -1,19 +1,20 @@
 """Trials of suspect requests after their quarantine.
 
-Load pattern: a request was at three crashes together with others. It is
-quarantined for a short time, because it may be a bystander. A dozen callers
-receive the same end of the quarantine and retry at several entries.
-
-Without this, each entry lets one request through at that moment. Four endpoints
-crash within a fifth of a second, with the streams of all other requests there,
-before any entry has received a report from another one.
-
-For each request, one entry grants the trials; a hash chooses it among the live
-entries. It grants one trial at a time, and not more than `MOST_TRIES` while the
-crashes count. The number of trials is reported together with the crashes, so
-that the next entry that is chosen knows it. An entry that may have missed such
-reports grants nothing: one that has just started, was suspended, or receives
-reports from at most half of the entries.
+Load pattern: three endpoints crash while they run a request, together with
+other requests. The request is quarantined for a short time, because it may be a
+bystander. A dozen callers are told to retry at the end of the quarantine, and
+do so at several entries.
+
+Without this, each entry sends one of these requests at that moment. Four
+endpoints crash within a fifth of a second, and the streams of all other
+requests there break, before any entry has received another entry's report.
+
+For each request, one entry grants the trials; a hash chooses this entry among
+the live entries. It grants one trial at a time, and not more than `MOST_TRIES`
+while the crashes count. The number of trials is reported together with the
+crashes, so that another entry that is chosen later knows the number. An entry
+that may have missed such reports grants no trial: an entry that has just
+started, was suspended, or receives reports from at most half of the entries.
 """
 
 from collections.abc import Iterable
@@ -24,11 +25,11 @@
 
 #: Upper bound of the trials of a request after its quarantine.
 MOST_TRIES = 3
-#: Time after which a trial counts as ended, in seconds: the timeout of its
-#: caller. A crash or an answer ends it sooner.
+#: Time after which a trial counts as ended, in seconds: the timeout of the
+#: caller. A crash or an answer ends the trial sooner.
 TRIAL_TIMEOUT_SECONDS = 12.0
 #: Time for which an entry must have run without suspension before it grants
-#: trials, in seconds. It has received all reports of its peers by then.
+#: trials, in seconds. By then it has received all reports of its peers.
 MIN_UNINTERRUPTED_SECONDS = 3.0
 #: An entry grants trials only if it receives reports from more than this
 #: fraction of all entries, including itself.
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/update_pace.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/update_pace.py
@@ -5,10 +5,10 @@
 them in parts. Parts go ahead of the prompts that an engine reads, so that an
 unreported part makes all prompts on the engine miss their objectives.
 
-If an entry sent updates only every 20 ms, a peer that places meanwhile would
-consider engines idle that have just received a second of reading. Short
-requests would collect on the last slot of an engine that two other entries
-have filled.
+If an entry sent updates only every 20 ms, a peer that places a request
+meanwhile would consider engines idle that have just received a second of
+reading. Short requests would collect on the last slot of an engine that two
+other entries have filled.
 
 Requests that were sent are therefore reported at once. Completed work is
 reported at the regular interval; if that report is late, an engine only stays
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/worth.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/worth.py
@@ -1,4 +1,4 @@
-"""Whether a long prompt is read now, or its caller is asked to come back.
+"""Whether a long prompt is read now, or its caller is asked to retry later.
 
 Load pattern: a prompt of several hundred thousand tokens arrives while short
 requests occupy most engines. Reading the prompt takes a minute of engine time,
@@ -8,21 +8,21 @@
 Without this, the prompt is spread over all engines at once, since this misses
 the fewest objectives of all ways to read it. The prompt is late nevertheless,
 and every answer on the engines pauses for seconds. The callers of these
-answers leave and retry, and the fleet needs ten seconds to recover.
+answers disconnect and retry, and the fleet needs ten seconds to recover.
 
 A prompt is read if its value for its caller is at least its interference with
 other requests. Both are counted in objectives of short requests, as in plans.
 A prompt whose reading alone takes longer than its caller waits has no value.
-A caller that is turned away comes back when the load may have changed.
+A rejected caller retries later, when the load may have changed.
 """
 
 from .plan import ReadPlan, ReadRequest
 from .read_plan import LATE_VALUE_FRACTION
 
 #: Reading time up to which a prompt is always read, in milliseconds. Shorter
-#: prompts delay about as many requests as they serve. If they were weighed
-#: against callers who are late already, all callers that come back after an
-#: outage would be turned away.
+#: prompts delay about as many requests as they serve. If their value were
+#: compared with the interference with requests that are late already, all
+#: callers that retry after an outage would be rejected.
 _ALWAYS_READ_MS = 500.0
 
 
