--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_harm.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_harm.py
@@ -60,11 +60,11 @@
     Attributes
     ----------
     penalty
-        Added to the engine's cost if it failed recently or is in another
-        cell, in missed objectives.
+        Added to the engine's cost if the engine failed recently or is in
+        another cell, in missed objectives.
     tie_break
-        Between 0 and 1 and constant for an entry and an engine. Two entries
-        thus choose differently among equivalent engines.
+        Number between 0 and 1, constant for each pair of an entry and an
+        engine. Two entries thus choose differently among equivalent engines.
     """
 
     endpoint: EndpointId
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/load_registry.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/load_registry.py
@@ -1,8 +1,8 @@
 """The load of each engine: this entry's own work and the reports of peers.
 
-Without the reports of peers, each entry places by its own requests alone. Two
-entries choose the same idle engine, and a short request waits behind another
-entry's long prompt while other engines are idle.
+Without the reports of peers, each entry places requests by its own load alone.
+Two entries choose the same idle engine, and a short request waits behind
+another entry's long prompt while other engines are idle.
 """
 
 from collections.abc import Iterable, Mapping
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/retry_allowance.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/retry_allowance.py
@@ -1,12 +1,12 @@
 """Retry budget: how many requests may be sent to another endpoint.
 
-Load pattern: a third of the endpoints die at the same moment, and each request
-that was there is retried at endpoints that are already busy.
+Load pattern: a third of the endpoints crash at the same moment, and each
+request that ran there is retried at endpoints that are already busy.
 
 Without this, retries add to the first attempts, more of them fail in turn, and
 the load stays above capacity after the original failure is over. The operator
 limits the retries of all entries together. Because entries may be partitioned
-from each other, each entry keeps to its own share of the limit without
+from each other, each entry uses only its own share of the limit and needs no
 coordination.
 """
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/suspect_places.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/suspect_places.py
@@ -5,7 +5,7 @@
 
 Without this, all are retried at the same endpoint, the least loaded one. It
 crashes as well, and the second crash does not show the cause, because each
-request was at both endpoints. All eight are quarantined, and the callers of
+request ran at both endpoints. All eight are quarantined, and the callers of
 seven harmless requests are refused.
 
 If the requests are sent to different endpoints, one further crash identifies
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
@@ -112,7 +112,9 @@
     plan = plan_for(
         long_request(300_000), [*generating_engines(9), *idle_engines(9)]
     )
-    assert all(name in {f'e{one}' for one in range(9)} for name in plan.members)
+    assert all(
+        name in {f'e{number}' for number in range(9)} for name in plan.members
+    )
 
 
 def test_prompt_is_read_in_small_parts_if_no_engine_is_idle() -> None:
@@ -132,7 +134,8 @@
     first = [reading_engine(number, 1300, slack_ms=1400) for number in range(9)]
     plan = plan_for(long_request(200_000), [*first, *idle_engines(9, first=50)])
     assert all(
-        name in {f'e{one}' for one in range(50, 59)} for name in plan.members
+        name in {f'e{number}' for number in range(50, 59)}
+        for name in plan.members
     )
 
 
