--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
@@ -94,8 +94,8 @@
 def test_short_request_is_split_if_all_engines_read() -> None:
     """A short request arrives while every engine reads parts of long prompts.
 
-    Unsplit, it would wait behind them for a second. Its parts are read ahead
-    of them and hardly delay the long prompts.
+    Unsplit, the short request would wait behind these parts for a second. Its
+    own parts are read ahead of them and hardly delay the long prompts.
     """
     busy = [reading_engine(number, 900) for number in range(6)]
     plan = plan_for(short_request(), busy)
@@ -112,7 +112,9 @@
     plan = plan_for(
         long_request(300_000), [*generating_engines(9), *idle_engines(9)]
     )
-    assert all(name in {f'e{one}' for one in range(9)} for name in plan.members)
+    assert all(
+        name in {f'e{number}' for number in range(9)} for name in plan.members
+    )
 
 
 def test_prompt_is_read_in_small_parts_if_no_engine_is_idle() -> None:
@@ -132,7 +134,8 @@
     first = [reading_engine(number, 1300, slack_ms=1400) for number in range(9)]
     plan = plan_for(long_request(200_000), [*first, *idle_engines(9, first=50)])
     assert all(
-        name in {f'e{one}' for one in range(50, 59)} for name in plan.members
+        name in {f'e{number}' for number in range(50, 59)}
+        for name in plan.members
     )
 
 
@@ -184,11 +187,11 @@
 
 
 def test_late_prompt_is_read_before_its_caller_leaves() -> None:
-    """A prompt is read again after an engine fell silent and it is late.
+    """A late prompt is read again because an engine fell silent.
 
-    If only its lateness counted, any number of engines would cost the same. A
-    few engines could read it for longer than its caller waits, and the caller
-    would get no answer.
+    If only the lateness of the prompt counted, any number of engines would
+    cost the same. A few engines could read the prompt for longer than its
+    caller waits, and the caller would get no answer.
     """
     request = msgspec.structs.replace(
         long_request(LARGEST, objective_ms=-2000),
