--- a/packages/sycamore-core/src/sycamore_core/decisions/admission.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/admission.py
@@ -7,16 +7,16 @@
 time. After the burst, the fleet still computes answers that nobody reads.
 
 Above capacity, the share of a workspace is too small for all its requests. The
-fuller its queue, the higher a request must rank by penalty density (penalty per
-engine second) among the recent requests of the workspace. The refused requests
-are therefore the ones with low penalties.
-
-A request is refused at once if it would miss its time limit, or if it would
-miss its target and delay other requests that can still meet theirs. The
-estimate counts the work of the same workspace that is served before the
-request, at the rate of the share. Requests of other workspaces do not count, so
-that only the overloading workspace is refused. The refusal is sent at once and
-says when to retry.
+fuller its queue, the higher a request must rank by penalty density among the
+recent requests of the workspace. The penalty density is the penalty for missing
+the target, divided by the engine seconds of the request. The refused requests
+are therefore the ones with a low penalty density.
+
+A request is refused at once if it would miss its time limit, or if the queue
+would make it miss its target. The estimate counts the work of the same
+workspace that is served before the request, at the rate of the share. Requests
+of other workspaces do not count, so that only the overloading workspace is
+refused. The refusal is sent at once and says when to retry.
 """
 
 import math
@@ -30,11 +30,11 @@
 #: Fraction of the target that a wait may use up. The rest is a margin for
 #: errors of the estimates, which are one report old.
 TARGET_FRACTION = 0.8
-#: Tightness from which requests of low rank are refused, and at which nearly
-#: all are. At 1 the next admitted request makes another one miss its target. Of
-#: (1/2, 1), (1/4, 1), (1/4, 3/4) and (1/10, 1/2), the pair (1/4, 1) owes the
-#: lowest penalties at 2 and 5 times the capacity in
-#: benchmarks/decisions_under_load.py.
+#: Tightness from which requests of the lowest rank are refused, and tightness
+#: at which all except those of the highest rank are refused. At 1 the next
+#: admitted request makes another request miss its target. Of (1/2, 1),
+#: (1/4, 1), (1/4, 3/4) and (1/10, 1/2), the pair (1/4, 1) has the lowest total
+#: penalty at 2 and 5 times the capacity in benchmarks/decisions_under_load.py.
 SHEDDING_START_TIGHTNESS = 0.25
 SHEDDING_FULL_TIGHTNESS = 1.0
 #: Bounds of the retry delay given to a refused caller, in seconds.
@@ -62,8 +62,9 @@
     share
         Fraction of the capacity that the workspace has now, from 0 to 1.
     tightness
-        Queued work as a fraction of the time until the most constrained target
-        of the workspace. Above 1, some target is missed.
+        Time that the queued work of the workspace takes at `rate`, divided by
+        the time left until it is due; the highest ratio of all due times.
+        Above 1, some target is missed.
     rank
         Fraction of the recent requests of the workspace with a lower penalty
         density, from 0 to 1.
@@ -174,8 +175,8 @@
 def retry_seconds(excess: float, draw: Draw) -> float:
     """Return the retry delay if the queue is too long by `excess` seconds.
 
-    The queue drains one second of work per second. After the excess it is short
-    enough, unless other requests arrive in the meantime.
+    The waiting time falls by one second per second. After `excess` seconds the
+    queue is short enough, unless other requests arrive in the meantime.
     """
     wait = min(max(excess, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
     return round(wait * (1 + RETRY_JITTER * draw()), 3)
--- a/packages/sycamore-core/src/sycamore_core/decisions/affinity.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/affinity.py
@@ -23,17 +23,19 @@
 from .pool import Candidate, CandidatePool
 
 #: Maximum number of blocks in an index. A prompt of 10,000 tokens in blocks of
-#: 256 tokens takes ten. The benchmark `decision_cost` gives the memory used.
+#: 256 tokens takes ten records. The benchmark `decision_cost` gives the memory
+#: used.
 MAX_INDEX_BLOCKS = 20_000
 #: Maximum number of endpoints recorded for one block, the latest ones.
 MAX_HOLDERS_PER_BLOCK = 32
-#: Number of holders found at which a lookup skips the shallower blocks.
+#: Number of holders after which a lookup stops. The remaining blocks would only
+#: give shorter matches.
 SUFFICIENT_HOLDERS = 4
 #: Age at which a record is ignored, in seconds. An engine that computes 10,000
 #: tokens per second fills a memory of 2,000,000 tokens in 200 s.
 RECORD_LIFETIME_SECONDS = 300.0
-#: Minimum age at which a record is renewed, in seconds. Without it, an
-#: instruction that all callers share is recorded again with each request.
+#: Minimum age at which a record is renewed, in seconds. Without this minimum,
+#: an instruction that all callers share is recorded again with each request.
 RECORD_REFRESH_SECONDS = 10.0
 #: Every block before this position is recorded; beyond it, two blocks for each
 #: doubling of the position. Values of 8 and 4 found no more matches and took a
@@ -185,7 +187,7 @@
         blocks: Sequence[BlockHash],
         pool: CandidatePool,
     ) -> Iterable[Candidate]:
-        """Return the home of a prompt, or nothing if it is not a candidate."""
+        """Return the home of a prompt among the candidates, if any."""
         if not len(pool):
             return ()
         service = pool[0].view.service
@@ -221,9 +223,9 @@
 def recorded_positions(blocks: int) -> tuple[int, ...]:
     """Return the positions at which a prompt of `blocks` blocks is recorded.
 
-    The first positions are consecutive; later ones follow at two per doubling.
-    A prompt of a million tokens thus takes few records, and the length of a
-    match is underestimated by at most a third.
+    The first positions are consecutive. Then two positions follow for each
+    doubling of the position. A prompt of a million tokens thus takes few
+    records, and the length of a match is underestimated by at most a third.
 
     Examples
     --------
--- a/packages/sycamore-core/src/sycamore_core/decisions/backlog.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/backlog.py
@@ -4,7 +4,7 @@
 are repeated after a delay.
 
 Without these timers, a request whose deadline has passed stays in its queue
-until it reaches the head, and its caller is informed late.
+until it reaches the head, and its caller receives the refusal late.
 """
 
 import heapq
@@ -112,9 +112,9 @@
         if promised >= request.deadline:
             return
         prefill = self.service_queue(request.service).prefill_seconds(request)
-        # The prefill estimate may decrease while the request waits, so that the
-        # request can still meet its target at the first of these times. It is
-        # checked again when the target has passed.
+        # The request is checked twice. At the first time, the request may
+        # still be able to meet its target, because the prefill estimate may
+        # have decreased meanwhile. At the second time, the target has passed.
         for when in (promised - prefill, promised):
             entry = (when, request.request_id, waiting)
             heapq.heappush(self._targets, entry)
--- a/packages/sycamore-core/src/sycamore_core/decisions/batch_limit.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/batch_limit.py
@@ -18,9 +18,9 @@
 #: step in progress on arrival, its own step, and one for the age of reports.
 EXPECTED_STEPS = 3
 #: Decrease when a request had to wait, as a fraction of the requests at the
-#: engine. With `INCREASE_REQUESTS` it finds batches of 32 without refusing a
-#: burst that fits. A decrease of 0.1 with an increase of 0.5 keeps such batches
-#: half empty for seconds.
+#: engine. With `INCREASE_REQUESTS`, the limit finds batches of 32 without
+#: refusing a burst that fits. A decrease of 0.1 with an increase of 0.5 keeps
+#: such batches half empty for seconds.
 DECREASE_FRACTION = 0.03
 #: Increase per first token in time while the limit is in use, in requests.
 INCREASE_REQUESTS = 1
--- a/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/dispatching.py
@@ -3,8 +3,9 @@
 Load pattern: more requests wait than the endpoints have capacity for.
 
 Without this control, a request that is sent too early waits in an engine, where
-more urgent requests can no longer overtake it. A request that has missed its
-target takes the place of a request that could still meet its own.
+more urgent requests can no longer overtake it. Without the refusal of late
+requests, a request that has missed its target delays requests that can still
+meet theirs.
 """
 
 from ..ids import RequestId
@@ -44,8 +45,9 @@
     Parameters
     ----------
     placement
-        Chooses among the endpoints. If it finds none although some are open,
-        the least loaded of a sample of the open endpoints is used.
+        Chooses among the endpoints. For short and medium prompts, the least
+        loaded of a sample of the open endpoints is used instead if the
+        placement finds none or chooses an engine with long work.
     """
 
     def __init__(
@@ -163,8 +165,9 @@
     def _refuse_too_long(self, request: RequestView) -> Refusal:
         """Refuse a prompt that all live engines together cannot hold.
 
-        The request, and its lane with it, would wait for absent engines until
-        its time limit. The caller can retry when the engines are back.
+        Otherwise the request would wait for absent engines until its time
+        limit and block its lane. The caller can retry when the engines are
+        back.
         """
         self.backlog.remove(request.request_id)
         return Refusal(
@@ -206,8 +209,10 @@
         pool: TrackedPool,
         chosen: PlacementDecision,
     ) -> bool:
-        """Return whether the chosen engine is busy with a long prompt.
+        """Return whether an engine without a long prompt is preferable.
 
+        This is the case if the chosen engine is busy with a long prompt, was
+        not chosen for its cache, and another open engine has no long prompt.
         If half of the engines compute long prompts, both of two engines drawn
         at random do so in about one of five draws. This raises the p95 of the
         time to first token of short requests.
@@ -242,8 +247,8 @@
         usage.add(_lease_tokens(request), now)
         self.endpoints.record_sent(sent)
         if request.band == PromptBand.HUGE:
-            # The limits of long work are computed once a second. Without
-            # this, a second long prompt would be placed by stale limits.
+            # The limits of long work are computed once a second. The next
+            # long prompt must not be placed by limits without this one.
             self.placement.limits.pop(request.service, None)
         return Dispatch(
             request.request_id,
--- a/packages/sycamore-core/src/sycamore_core/decisions/endpoint_book.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/endpoint_book.py
@@ -22,7 +22,7 @@
 from .weight_ramp import WeightRamp
 
 #: Interval at which the weights are updated from the health of the endpoints,
-#: in seconds: the interval of load reports, which bring the new information.
+#: in seconds: the interval of load reports.
 WEIGHT_INTERVAL_SECONDS = 1.0
 #: Refusals after which an endpoint receives no work until its next report.
 _CLOSING_REASONS = frozenset(
@@ -144,7 +144,7 @@
         self._observe(sent, Observation(kind=ObservationKind.FAILED), now)
 
     def record_first_token(self, sent: SentRequest, now: float) -> None:
-        """Record the first token: the prompt has been computed."""
+        """Record that the first token has arrived and the prefill ended."""
         for holder in self._charged_records(sent):
             holder.candidate.clear_pending(
                 sent.waiting.request,
--- a/packages/sycamore-core/src/sycamore_core/decisions/estimates.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/estimates.py
@@ -20,7 +20,7 @@
 #: slope of the published fit, 2.7 ms, and its base of 10 ms shared by 16
 #: sequences.
 ASSUMED_TOKEN_SECONDS = 0.0033
-#: Time of one call of a plain service before the first one, in seconds.
+#: Time of one call of a plain service before the first call, in seconds.
 ASSUMED_CALL_SECONDS = 0.05
 #: Answer length before the first answer, as a fraction of its limit. Most
 #: callers keep the default limit of their service, and few answers reach it.
--- a/packages/sycamore-core/src/sycamore_core/decisions/fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/fair.py
@@ -10,8 +10,9 @@
 - `retries` decides what follows a failed attempt,
 - `health` and `weight_ramp` reduce the load of endpoints.
 
-Load pattern: the patterns of all these modules at once. Without one place that
-runs them in this order, one module would undo the decision of another.
+Load pattern: the load patterns of all these modules at the same time. Without
+one place that calls the modules in a fixed order, a module would undo the
+decision of another module.
 """
 
 from collections.abc import Sequence
@@ -42,8 +43,8 @@
 )
 from .views import EndpointView
 
-#: Interval of `dispatch` while requests wait, in seconds: a twentieth of the
-#: shortest target in use, 0.49 s.
+#: Interval of `dispatch` while requests wait, in seconds: about a twentieth of
+#: the shortest target in use, which is 0.49 s.
 WAKE_SECONDS = 0.025
 #: Interval of `dispatch` while no requests wait, in seconds.
 IDLE_SECONDS = 1.0
@@ -134,21 +135,25 @@
             return refusal
         waiting = queue.build_waiting(request)
         estimate = queue.estimate(waiting, now)
-        verdict = decide_admission(request, estimate, now, self.draw)
-        if verdict.reason is not None:
+        admission = decide_admission(request, estimate, now, self.draw)
+        if admission.reason is not None:
             queue.record_refused(request, now)
             return Refusal(
                 request.request_id,
-                verdict.reason,
-                verdict.retry_after,
-                verdict.detail,
+                admission.reason,
+                admission.retry_after,
+                admission.detail,
             )
         self.retries.record_first_attempt(now)
         self.backlog.enqueue(waiting)
         return Queued(estimate.until_first_token)
 
     def dispatch(self, now: float) -> Sequence[Decision]:
-        """Send requests to endpoints and refuse those that are too late."""
+        """Decide which requests are sent now, and refuse those too late.
+
+        A request is expired when its time limit has passed, and late when it
+        can no longer meet its target.
+        """
         decisions: list[Decision] = [
             _expired(waiting, now) for waiting in self.backlog.pop_expired(now)
         ]
@@ -175,7 +180,7 @@
             self.endpoints.record_accepted(sent, now)
 
     def declined(self, refusal: Refusal, now: float) -> Requeued | Refusal:
-        """Queue the request for another attempt, or refuse it."""
+        """Queue a declined request for another attempt, or refuse it."""
         sent = self.dispatcher.pop_sent(refusal.request_id)
         if sent is None:
             return _unknown_request(refusal.request_id)
@@ -188,7 +193,7 @@
         reason: RetryReason,
         now: float,
     ) -> Requeued | Refusal:
-        """Queue the request for another attempt, or refuse it."""
+        """Queue a request whose attempt failed once more, or refuse it."""
         sent = self.dispatcher.pop_sent(request_id)
         if sent is None:
             return _unknown_request(request_id)
@@ -196,7 +201,7 @@
         return self._retry(sent.waiting, reason, now)
 
     def first_token(self, request_id: RequestId, now: float) -> None:
-        """Record that the prompt has been computed."""
+        """Record that the first token has arrived: the prefill has ended."""
         sent = self.dispatcher.sent.get(request_id)
         if sent is None or sent.first_token_at is not None:
             return
@@ -264,7 +269,10 @@
 
 
 def _with_effective_share(settings: FleetSettings) -> FleetSettings:
-    """Return the tree with the long work share reduced by the emphasis."""
+    """Return the settings with the share of long work that is in effect.
+
+    See `ordering.long_work_share`.
+    """
     policy = msgspec.structs.replace(
         settings.policy,
         long_work_share=long_work_share(settings.policy),
--- a/packages/sycamore-core/src/sycamore_core/decisions/fair_share.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/fair_share.py
@@ -21,8 +21,8 @@
 from .lending import LendingRule
 
 #: Number of next flows, including the lender, among which a borrower is
-#: searched. It covers all flows of a site of ten workspaces and bounds the cost
-#: of a turn with 2,400 of them to a few microseconds.
+#: searched. It covers all flows of a site of ten workspaces. At a site of 2,400
+#: workspaces, it bounds the cost of a turn to a few microseconds.
 BORROWER_SCAN_FLOWS = 16
 #: Weight of the last turn in the average fraction of lent turns.
 LENT_SMOOTHING = 0.1
--- a/packages/sycamore-core/src/sycamore_core/decisions/flow.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/flow.py
@@ -137,7 +137,8 @@
     def cost_before(self, promised_at: float) -> float:
         """Return the cost of the requests promised by a time.
 
-        The unit is engine seconds. Requests in the same slot count.
+        The unit is engine seconds. Requests in the slot of `promised_at` are
+        included.
         """
         last = _slot(promised_at)
         before = [slot for slot in self.costs if slot <= last]
--- a/packages/sycamore-core/src/sycamore_core/decisions/group_reservation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/group_reservation.py
@@ -8,9 +8,9 @@
 
 The leader sends reservations to one member at a time, in the order of their
 ids. Of several groups, the one that has reserved the highest contested member
-can therefore always continue. Each lease expires at the member without a
-message. The leader counts the lease from the time it sent the request, so it
-never relies on a lease that has expired.
+can therefore always continue. The member ends a lease that is not renewed in
+time, without a message. The leader counts the lease from the time at which it
+sent the request, so it never relies on a lease that has expired.
 """
 
 import enum
@@ -167,8 +167,8 @@
             member.lease_expires_at <= now
             for member in self._members_with_lease()
         ):
-            # A lease whose renewals remain unanswered may have expired at the
-            # member, which then refuses a span that runs without a lease.
+            # If renewals remain unanswered, the lease may have expired at the
+            # member. The member then refuses a span without a lease.
             self._fail(ReservationFailure.LEASE_LOST, now)
         elif self._next_to_reserve() is None:
             self.state = ReservationState.HELD
--- a/packages/sycamore-core/src/sycamore_core/decisions/health.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/health.py
@@ -1,4 +1,4 @@
-"""Passive outlier detection: ejection of endpoints by observed requests.
+"""Passive outlier detection: ejects endpoints by the results of requests.
 
 Load pattern: an endpoint that responds but is ten times slower than the
 others, an endpoint that fails each request at once, and an endpoint that
@@ -27,13 +27,14 @@
 #: Largest fraction of the endpoints that may be ejected or probed at once. At
 #: a load of 0.7 the others can take over the work of three in ten.
 MAX_EJECTED_SHARE = 0.3
-#: Latency above which an endpoint is ejected, in multiples of the median.
-#: Queueing alone makes the averages of equal endpoints differ by a factor of 2.
+#: Latency ratio above which an endpoint is ejected, in multiples of 1 or of the
+#: median ratio of all endpoints, whichever is higher. Queueing alone makes the
+#: averages of equal endpoints differ by a factor of 2.
 LATENCY_FACTOR = 3.0
 #: Durations of the first and of later ejections, in seconds. Ten seconds
-#: outlast a pause or restart of a process. With ejections of up to 160 s,
-#: callers in the model lost more time to the absence of recovered endpoints
-#: than to probes at 20 s.
+#: outlast a pause or restart of a process. In a simulation, ejections of up to
+#: 160 s cost callers more time than probes every 20 s, because endpoints that
+#: had recovered were not used.
 FIRST_EJECTION_SECONDS = 10.0
 LATER_EJECTION_SECONDS = 20.0
 #: Healthy time after which earlier ejections no longer count, in seconds.
@@ -87,8 +88,9 @@
         if record.state == HealthState.PROBING:
             self._record_probe(record, observation, now)
         elif observation.kind == ObservationKind.FAILED:
-            # Latency is compared only after the next update of the median,
-            # which rises when the whole fleet slows down.
+            # A slow answer is evaluated in `weights`, after an update of the
+            # median. Otherwise a slowdown of the whole fleet would look like
+            # a fault of one endpoint.
             self._evaluate(record, now)
 
     def weights(
@@ -106,7 +108,7 @@
             self.forget(removed)
         records = {endpoint: self._record(endpoint) for endpoint in names}
         self._refresh_median(now)
-        self._return_excess(now)
+        self._reinstate_excess(now)
         return {
             endpoint: self._weight(record, now)
             for endpoint, record in records.items()
@@ -129,8 +131,8 @@
     def max_out_of_service(self) -> int:
         """Return how many endpoints may be ejected or probed at once.
 
-        With two or three endpoints it is one. The last endpoint always stays
-        in service.
+        With two to six endpoints the number is one. The last endpoint always
+        stays in service.
         """
         endpoint_count = len(self.records)
         limit = max(1, math.floor(endpoint_count * MAX_EJECTED_SHARE))
@@ -189,7 +191,7 @@
         if record.successful_probes >= REQUIRED_PROBES:
             self._change_state(record, HealthState.RETURNING, now)
 
-    def _return_excess(self, now: float) -> None:
+    def _reinstate_excess(self, now: float) -> None:
         # When endpoints leave the fleet, the ejected ones may exceed the cap,
         # and the remaining endpoints would be overloaded.
         excess = self.out_of_service - self.max_out_of_service()
@@ -219,6 +221,7 @@
         ) - was_out_of_service
 
     def _weight(self, record: HealthRecord, now: float) -> float:
+        """Update the state of an endpoint and return its weight."""
         if record.is_settled:
             return 1
         self._evaluate(record, now)
--- a/packages/sycamore-core/src/sycamore_core/decisions/health_record.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/health_record.py
@@ -134,11 +134,11 @@
         return None
 
     def is_silent(self, now: float) -> bool:
-        """Return whether accepted requests get no first token for too long.
+        """Return whether no first token arrives while requests are pending.
 
         An endpoint that accepts requests and never answers reports no failure.
-        Without this check, the fault shows only when callers reach their time
-        limits.
+        Without this check, the fault is detected only when callers reach their
+        time limits.
         """
         if not self.pending:
             return False
--- a/packages/sycamore-core/src/sycamore_core/decisions/least_loaded.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/least_loaded.py
@@ -80,7 +80,7 @@
     requests = candidate.request_count
     if candidate.view.kind == EndpointKind.PLAIN:
         return float(requests)
-    # Each step shared with a long prefill takes as long as one chunk of it.
+    # A step shared with a long prefill takes as long as one prefill chunk.
     beside_long = 0 if candidate.has_no_long_prompt else CHUNK_SECONDS
     return queued + requests * SEQUENCE_SECONDS + beside_long
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/lending.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/lending.py
@@ -7,12 +7,12 @@
 penalty are refused in one workspace while requests with a low penalty are
 served in another.
 
-A flow sheds load if it has refused requests lately. Such a flow may lend its
-turn to another flow that sheds load, if the next request of the borrower has a
-clearly higher penalty density. The lender is charged and the borrower is not.
-A flow earns lending credit only by being served, which preserves the floor of
-its share. A flow that refuses no requests never lends, whatever the other flows
-send.
+A flow sheds load if admission control has refused requests of the flow lately.
+Such a flow may lend its turn to another flow that sheds load, if the next
+request of the borrower has a clearly higher penalty density. The lender is
+charged and the borrower is not. A flow earns lending credit only by being
+served, which preserves the floor of its share. A flow without refused requests
+never lends, whatever the other flows send.
 """
 
 from collections.abc import Iterable
@@ -81,7 +81,7 @@
 
 
 def is_shedding(flow: Flow, now: float) -> bool:
-    """Return whether a flow has refused requests lately."""
+    """Return whether requests of a flow have been refused lately."""
     return now < flow.refused_at + SHEDDING_SECONDS
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/long_limits.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/long_limits.py
@@ -95,11 +95,11 @@
 
 def long_capacity(
     candidate: Candidate,
-    short_room_share: float = SHORT_RESERVED_SHARE,
+    reserved_share: float = SHORT_RESERVED_SHARE,
 ) -> int:
     """Return the memory of an engine free for long work, in tokens."""
     view = candidate.view
     if candidate.weight <= 0 or view.phase != EndpointPhase.LIVE:
         return 0
-    short_room = math.ceil(view.capacity_tokens * short_room_share)
-    return max(0, view.free_tokens - candidate.sent_tokens - short_room)
+    reserved_tokens = math.ceil(view.capacity_tokens * reserved_share)
+    return max(0, view.free_tokens - candidate.sent_tokens - reserved_tokens)
--- a/packages/sycamore-core/src/sycamore_core/decisions/long_prompts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/long_prompts.py
@@ -25,8 +25,9 @@
 from .pool import Candidate
 from .requests import RequestView
 
-#: Shortest span for which an engine joins a group, in tokens. Its prefill takes
-#: some seconds, well above the round trips that one more member costs.
+#: Shortest span for which an engine with long work is preferred as a member of
+#: a group, in tokens. The prefill of such a span takes some seconds, well above
+#: the round trips that a further member costs.
 MIN_SPAN_TOKENS = 32_768
 
 
@@ -137,7 +138,8 @@
     short_share: float,
 ) -> list[_EngineCapacity]:
     # A smallest possible group fills more than half of each member's capacity.
-    # The output thus fits into the last span if it needs at most half of it.
+    # The output thus fits into the last span if the output needs at most half
+    # of the capacity of that member.
     min_tokens = request.max_output_tokens * 2
     capacities = (
         _EngineCapacity(
--- a/packages/sycamore-core/src/sycamore_core/decisions/naive.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/naive.py
@@ -1,7 +1,7 @@
 """A naive scheduler, the baseline for measurements of other schedulers.
 
-It serves requests first in, first out, to the endpoints in rotation, with no
-limit of its own. It refuses only requests whose time limit has passed.
+The scheduler sends requests first in, first out, to the endpoints in rotation,
+without any limit. It refuses only requests whose time limit has passed.
 """
 
 from collections import OrderedDict
@@ -111,7 +111,7 @@
         self.not_before.pop(request_id, None)
 
     def next_wake(self, now: float) -> float:
-        """Return the time of the next short retry interval."""
+        """Return the end of the short retry interval."""
         return now + _RETRY_SECONDS
 
     def snapshot(self, now: float) -> SchedulerSnapshot:
--- a/packages/sycamore-core/src/sycamore_core/decisions/options.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/options.py
@@ -3,9 +3,9 @@
 Load pattern: hundreds of endpoints, thousands of placements per second, and
 entries that all have received the same load report.
 
-Without the shortlist, comparing all endpoints takes more time than the whole
-decision may, and all entries select the same least loaded endpoint until its
-next report. Two endpoints drawn at random differ between entries.
+Without the shortlist, the comparison of all endpoints takes more time than is
+available for a decision, and all entries select the same least loaded endpoint
+until its next report. Two endpoints drawn at random differ between entries.
 """
 
 from collections.abc import Callable, Iterable
@@ -21,12 +21,15 @@
 from .scheduler import Draw
 
 #: Number of endpoints drawn at random for each request. With four instead of
-#: two, the p95 changed by at most a tenth under each measured load.
+#: two, the p95 of the time to first token changed by at most a tenth under each
+#: measured load.
 SAMPLE_CHOICES = 2
-#: Maximum number of draws to find these, as some endpoints are full or ejected.
+#: Maximum number of draws to find `SAMPLE_CHOICES` endpoints. Full or ejected
+#: endpoints are drawn as well.
 MAX_SAMPLE_DRAWS = 8
-#: Maximum number of holders of a prefix to consider: the one that caches most,
-#: and two drawn at random, so that all holders of a hot prefix share its load.
+#: Maximum number of holders of a prefix to consider: the holder that caches
+#: most, and two drawn at random, so that all holders of a hot prefix share its
+#: load.
 MAX_HOLDER_CHOICES = 3
 #: Maximum number of endpoints scanned, from a random position, if no endpoint
 #: that was drawn fits.
--- a/packages/sycamore-core/src/sycamore_core/decisions/placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/placement.py
@@ -4,9 +4,9 @@
 by many callers, bursts, and several entries that do not know what the others
 send.
 
-Without it, round robin computes each prompt again on every endpoint, and
-choosing the least loaded endpoint by report directs all entries to the same
-endpoint until its next report.
+Simpler methods fail under this load. Round robin computes each prompt again on
+every endpoint. With the least loaded endpoint of the last reports, all entries
+choose the same endpoint until its next report.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -28,14 +28,17 @@
 from .views import EndpointView
 
 #: Delay before the next placement if no endpoint fits, in seconds: the interval
-#: of load reports, which bring the new information.
+#: of load reports. The next report may show that an endpoint has capacity.
 REPORT_SECONDS = 1.0
-#: Share of a prompt that its home is assumed to cache if no record exists. With
-#: eight entries, 0.8 and 0.95 gave equal results, and 0.5 was worse.
+#: Share of a prompt that its home is assumed to cache if the index has no
+#: record of the prompt. The home is the endpoint selected by the hash of the
+#: first blocks. With eight entries, 0.8 and 0.95 gave equal results, and 0.5
+#: was worse.
 HOME_CACHED_SHARE = 0.8
 #: Extra cost of a second of prefill compared with a second of waiting. Prefill
-#: also delays later requests. The cost is divided among all uses of the prefix,
-#: as one more holder of a hot prefix serves many requests.
+#: also delays later requests. The extra cost is divided by the number of uses
+#: of the prefix: a further endpoint that caches a frequent prefix serves many
+#: requests.
 RECOMPUTE_WEIGHT = 2.0
 
 
@@ -70,9 +73,9 @@
     """Placement by cached prefixes, load, memory and zone crossings.
 
     The options are endpoints that cache a prefix of the prompt, the home of
-    its hash, and two endpoints drawn at random. The option with the least
-    expected time to first token is chosen. Computing tokens that are cached
-    elsewhere counts more than waiting.
+    the prompt (selected by hash), and two endpoints drawn at random. The option
+    with the least expected time to first token is chosen. A second of prefill
+    counts more than a second of waiting, see `RECOMPUTE_WEIGHT`.
 
     Parameters
     ----------
@@ -117,7 +120,7 @@
         now: float,
         draw: Draw,
     ) -> PlacementDecision:
-        """Choose the endpoint with the least expected time to first token."""
+        """Choose an endpoint or a group, or none if the request must wait."""
         pool = CandidatePool.from_candidates(candidates)
         limits = self._limits(request.service, pool, now)
         matches = self.index.matches(request.prefix_blocks, now)
@@ -166,6 +169,9 @@
     def _add_options(self, shortlist: Shortlist) -> None:
         blocks = shortlist.request.prefix_blocks
         if blocks:
+            # Prompts with a common instruction often match up to the block that
+            # selects the home. A longer match shows that the prompt continues
+            # an earlier prompt.
             is_repeat = shortlist.matches.longest_match > HOME_KEY_POSITION + 1
             self.reuse.record(is_repeat=is_repeat)
             cached_share = (
--- a/packages/sycamore-core/src/sycamore_core/decisions/retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/retries.py
@@ -19,8 +19,9 @@
 from .scheduler import Draw
 
 #: Retries that each first attempt adds to the budget once it is answered. If
-#: 0.2 is added in advance, an overload at a load of 0.8 outlasts its cause;
-#: added on answers, the budget stops growing as soon as answers stop.
+#: 0.2 were added before the answer, an overload at a load of 0.8 would outlast
+#: its cause. Because 0.2 is added with the answer, the budget stops growing as
+#: soon as answers stop.
 RETRY_CREDIT = 0.2
 #: Retries that a failure without a retry removes from the budget, so that a
 #: spent budget recovers only while answers outnumber failures.
@@ -167,14 +168,14 @@
         if now + wait + failure.needed_seconds >= request.deadline:
             return RetryVerdict.DEADLINE
         if failure.reason == RetryReason.DECLINED:
+            # A declined offer caused no work at the endpoint, so its retry is
+            # limited only by the backoff. Every other retry uses the budget.
             return RetryVerdict.RETRY
         if failure.attempt >= MAX_ATTEMPTS:
             return RetryVerdict.ATTEMPTS_SPENT
         return self._spend(now)
 
     def _spend(self, now: float) -> RetryVerdict:
-        # A declined offer caused no work at the endpoint, so its retry is
-        # limited only by the backoff. Every other retry uses the budget.
         if self.available(now) < 1:
             balance = max(-MAX_DEBT, self.balance - FAILURE_COST)
             self.balance = balance
@@ -208,8 +209,8 @@
         RetryVerdict.BUDGET_SPENT: RefusalReason.RETRY_BUDGET_SPENT,
     }
 )
-#: `retry_after` of each verdict, in seconds. A spent budget needs about this
-#: time to allow the next retries.
+#: `retry_after` of each verdict, in seconds. A spent budget allows the next
+#: retries after about half of `BALANCE_DECAY_SECONDS`.
 _RETRY_AFTER_SECONDS = types.MappingProxyType(
     {
         RetryVerdict.IN_DOUBT: 0,
--- a/packages/sycamore-core/src/sycamore_core/decisions/service_queue.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/service_queue.py
@@ -33,7 +33,8 @@
 from .tracked import PREFILL_WINDOW_SECONDS, TrackedPool
 
 #: Fraction of its target for which the head of a longer lane yields to shorter
-#: lanes at a short emphasis of 1; the other half is left for its prefill.
+#: lanes at a short emphasis of 1. The other half of the target is left for the
+#: prefill of the head.
 MAX_YIELD_FRACTION = 0.5
 #: Number of flows that are skipped at most in search of a head that fits.
 MAX_SCANNED_FLOWS = 8
@@ -102,7 +103,10 @@
         self.blocked_until = now + self.pause
 
     def push(self, waiting: WaitingRequest) -> None:
-        """Queue a request and unblock the lane, as the request may fit."""
+        """Queue a request, and unblock the lane after its current pause.
+
+        The new request may fit even if the others do not.
+        """
         self.queue.push(waiting)
         self.blocked_version = -1
 
@@ -175,7 +179,7 @@
         return self.speed.prefill_seconds(request.prompt_tokens)
 
     def record_refused(self, request: RequestView, now: float) -> None:
-        """Record that a request was refused because its share is used up."""
+        """Record when admission last refused a request of the workspace."""
         queue = self.lane_of(request).queue
         queue.flow_of(request.workspace, request.weight).refused_at = now
 
@@ -196,9 +200,10 @@
     def blocks_lane(self, request: RequestView, now: float) -> bool:
         """Return whether a head that fits nowhere blocks the rest of its lane.
 
-        The memory for a huge prompt becomes free only if smaller long prompts
-        do not use it first. Without this, prompts of a million tokens miss
-        their targets while prompts of 200,000 tokens overtake them.
+        An urgent huge prompt blocks its lane, because enough memory for it
+        becomes free only if smaller prompts do not use the memory first.
+        Without this, prompts of a million tokens miss their targets while
+        prompts of 200,000 tokens overtake them.
         """
         if LANE_OF_BAND[request.band] != LaneName.HUGE:
             return False
--- a/packages/sycamore-core/src/sycamore_core/decisions/subset.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/subset.py
@@ -3,8 +3,9 @@
 Load pattern: 350 entries and 770 endpoints. One heartbeat and one report,
 about 260 bytes together, per pair and second add up to 200 KB/s at each entry.
 
-Without subsets, this is ten times the 19 KB/s that a node may use for control
-traffic, and each endpoint process answers 350 entries per second.
+Without subsets, the heartbeats and reports use ten times the 19 KB/s that a
+node may use for control traffic, and each endpoint process answers 350 entries
+per second.
 """
 
 from collections.abc import Mapping, Sequence
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_health.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_health.py
@@ -17,7 +17,7 @@
 
 SERVICE_SECONDS = 0.1
 TIME_LIMIT = 10
-#: With more requests in flight, a request would wait longer than its caller.
+#: With more requests in flight, a request could exceed its time limit.
 MAX_IN_FLIGHT = 8
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_pace.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_pace.py
@@ -20,7 +20,7 @@
 def run_feedback(make, lag, gain=3, seconds=120, base=(1.5, 1, 1, 0.5)):
     """Return the loads of all endpoints for each second.
 
-    One endpoint has 1.5 times the usual base load, another one half of it.
+    One endpoint has 1.5 times the usual base load, another endpoint half of it.
     The gain is the exponent with which a target responds to the reported load.
     """
     ramps = [make() for _ in range(3)]
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_placement.py
@@ -250,7 +250,7 @@
     engines: int,
     seconds: float = 60,
 ) -> list[Arrival]:
-    """Return prompts without common blocks, one in ten 20 times longer."""
+    """Return prompts without common blocks; one in ten is 20 times longer."""
     source = random.Random(seed)
     rate = load * engines * RATE / (2900)
     arrivals = []
@@ -279,10 +279,11 @@
 
 
 class InFlightSpill(PrefixPlacement):
-    """Published rule: the matched endpoint unless 8 more are in flight there.
+    """Placement on the longest match, limited by the requests in flight.
 
-    Otherwise, the rule chooses the endpoint with the fewest requests in
-    flight among all endpoints.
+    The rule has been published. The endpoint with the longest match is chosen
+    unless it has at least 8 more requests in flight than the endpoint with the
+    fewest. Otherwise the endpoint with the fewest is chosen.
     """
 
     def place(self, request, candidates, now, draw):
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair.py
@@ -55,7 +55,7 @@
 def test_overloading_workspace_does_not_delay_another():
     """One workspace sends 100 requests at once, then another sends one.
 
-    Without shares, the request of the second waits behind all 100.
+    Without shares, the request of the second workspace waits behind all 100.
     """
     scheduler = build_scheduler()
     for number in range(100):
@@ -188,8 +188,8 @@
 def test_long_work_uses_at_most_its_share_of_engines():
     """More huge prompts arrive than the share of long work allows.
 
-    Without the limit they occupy every engine, and each short request shares
-    its steps with one of them.
+    Without the limit, they occupy every engine, and each short request shares
+    its forward passes with a huge prompt.
     """
     scheduler = build_scheduler(endpoints=8, short_emphasis=1)
     for number in range(20):
@@ -213,8 +213,8 @@
 def test_pinned_request_goes_only_to_its_endpoint():
     """A caller repeats a request whose id is bound to one endpoint.
 
-    Placed like other requests, it would run at another endpoint as well and
-    have its effect twice.
+    If the repeated request ran at another endpoint as well, it would have its
+    effect twice.
     """
     scheduler = build_scheduler(endpoints=8)
     for number in range(16):
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_machine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_machine.py
@@ -19,7 +19,7 @@
 
 
 class FairSchedulerMachine(RuleBasedStateMachine):
-    """Each request ends once and leaves no counts, for any event order."""
+    """Each request ends once and leaves no work counted, in any event order."""
 
     def __init__(self):
         super().__init__()
@@ -157,10 +157,10 @@
 
     @invariant()
     def counts_at_endpoints_are_never_negative(self):
-        for entry in self.scheduler.endpoints.records.values():
-            assert entry.candidate.sent_requests >= 0
-            assert entry.candidate.own_tokens >= 0
-            assert min(entry.candidate.pending) >= 0
+        for record in self.scheduler.endpoints.records.values():
+            assert record.candidate.sent_requests >= 0
+            assert record.candidate.own_tokens >= 0
+            assert min(record.candidate.pending) >= 0
 
     def teardown(self):
         """After the last time limit, nothing waits and no memory is charged."""
@@ -172,9 +172,9 @@
         assert not self.waiting
         for name in tuple(self.sent):
             self.scheduler.finished(name, Outcome.TIMEOUT, self.now)
-        for entry in self.scheduler.endpoints.records.values():
-            assert entry.candidate.own_tokens == 0
-            assert not any(entry.candidate.pending)
+        for record in self.scheduler.endpoints.records.values():
+            assert record.candidate.own_tokens == 0
+            assert not any(record.candidate.pending)
 
 
 FairSchedulerMachine.TestCase.settings = settings(
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_share.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_share.py
@@ -42,10 +42,11 @@
     assert served['a'] == pytest.approx(75, abs=2)
 
 
-def test_idle_workspace_is_served_next():
+def test_first_request_of_a_workspace_is_served_next():
     """One workspace has queued 300 requests when another sends its first.
 
-    Without shares, the request of the second waits behind all of them.
+    Without shares, the request of the second workspace waits behind all of
+    them.
     """
     queue = build_queue()
     for number in range(300):
@@ -65,10 +66,11 @@
     assert serve(queue, 40)['late'] == pytest.approx(20, abs=1)
 
 
-def test_turns_are_lent_to_higher_penalties_above_the_floor():
+def test_workspace_above_its_floor_lends_turns_to_higher_penalties():
     """Both workspaces are overloaded, and one has ten times the penalties.
 
-    Without lending, as many requests of it are refused as of the other.
+    Without lending, as many requests with high penalties are refused as with
+    low ones.
     """
     queue = build_queue(floor_share=0.5)
     for number in range(300):
@@ -102,22 +104,23 @@
 
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(workloads, st.sampled_from([0.25, 0.5, 1]))
-def test_no_backlogged_workspace_falls_below_its_floor(entries, floor):
-    """Each workspace gets the floor of its share, for any costs."""
+def test_no_backlogged_workspace_falls_below_its_floor(requests, floor):
+    """Each workspace gets at least `floor` times its share, for any costs."""
     queue = build_queue(floor)
-    for number, (workspace, cost, penalty) in enumerate(entries):
+    for number, (workspace, cost, penalty) in enumerate(requests):
         queue.push(
             build_waiting(number, workspace, cost=cost, penalty=penalty),
         )
     for flow in queue.flows.values():
         flow.refused_at = 0
     backlogged = set(queue.flows)
-    largest = max(entry[1] for entry in entries)
+    largest = max(request[1] for request in requests)
     served = Counter()
     while backlogged and all(queue.flows[name].costs for name in backlogged):
         served.update(serve(queue, 1))
         total = sum(served.values())
         for name in backlogged:
             floor_cost = total / len(backlogged) * floor
-            # Turns are whole requests, so a flow may lag by one of each flow.
+            # Requests are not divided, so a workspace may be behind by one
+            # request of each workspace.
             assert served[name] >= floor_cost - largest * len(backlogged)
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
@@ -76,7 +76,7 @@
 def test_leases_of_failed_leader_expire():
     """Guards against leases that outlive a failed leader.
 
-    The engines would otherwise stay full for short requests.
+    Otherwise the engines would have no memory for short requests.
     """
     network = GroupNetwork()
     network.start_group(MEMBERS)
@@ -107,7 +107,7 @@
     for _ in range(40):
         network.send_due()
         network.packets = [
-            one for one in network.packets if one.endpoint != 'e2'
+            packet for packet in network.packets if packet.endpoint != 'e2'
         ]
         while network.packets:
             network.deliver(0)
@@ -140,7 +140,11 @@
 
 
 class GroupMachine(stateful.RuleBasedStateMachine):
-    """Loss, duplication, reordering, pauses, and failures of either side."""
+    """Leases and memory stay consistent while messages and processes fail.
+
+    Messages are lost, duplicated and reordered, time passes, members restart,
+    and leaders fail.
+    """
 
     def __init__(self):
         super().__init__()
@@ -204,9 +208,11 @@
         for group, leader in self.network.live_leaders().items():
             if not leader.is_held(now):
                 continue
-            for one in leader.members:
-                member = self.network.members[one.endpoint]
-                since = one.lease_expires_at - one.lease_seconds
+            for group_member in leader.members:
+                member = self.network.members[group_member.endpoint]
+                since = (
+                    group_member.lease_expires_at - group_member.lease_seconds
+                )
                 assert (
                     member.has_lease(group, now) or member.restarted_at >= since
                 )
@@ -214,7 +220,7 @@
     def teardown(self):
         network = self.network
         network.run_without_faults(RESERVATION_TIMEOUT_SECONDS + 1)
-        states = {one.state for one in network.live_leaders().values()}
+        states = {leader.state for leader in network.live_leaders().values()}
         assert ReservationState.RESERVING not in states
         for leader in network.live_leaders().values():
             leader.release(network.now)
@@ -234,7 +240,7 @@
 )
 
 
-def test_answer_without_number_counts_from_first_request():
+def test_lease_from_answer_without_number_starts_at_first_request():
     network = GroupNetwork()
     leader = network.start_group(('e1', 'e2'))
     first = leader.due(0)[0]
@@ -249,7 +255,8 @@
 def test_duplicate_answer_does_not_extend_lease():
     """Guards against a lease that a late duplicate answer extends.
 
-    The leader would run spans on memory that a failed member has released.
+    Otherwise the leader would run spans on memory whose lease has already
+    expired at the member.
     """
     network = GroupNetwork()
     leader = network.start_group(('e1', 'e2'))
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_health.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_health.py
@@ -136,7 +136,7 @@
 
 
 class HealthMachine(stateful.RuleBasedStateMachine):
-    """Arbitrary observations and fleets: the cap holds, all can recover."""
+    """The cap holds and all endpoints can recover, for any observations."""
 
     def __init__(self):
         super().__init__()
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_long_prompts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_long_prompts.py
@@ -66,8 +66,8 @@
 def test_small_site_reserves_less_memory_for_short_requests():
     """Guards against a refusal of a prompt that the fleet can store.
 
-    Three engines can store the prompt only if less memory is kept for short
-    requests.
+    Three engines can store the prompt only if less memory than usual is kept
+    for short requests.
     """
     pool = build_pool(3)
     assert (
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_pace.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_pace.py
@@ -39,8 +39,8 @@
 
 
 @pytest.mark.parametrize('lag', [1, 2, 3, 5])
-def test_load_swings_less_with_strong_feedback(lag):
-    """With a gain of 6 the load still oscillates, but less than without."""
+def test_rate_limit_reduces_swings_under_strong_feedback(lag):
+    """With a gain of 6 the load oscillates, but less than without the limit."""
     naive = load_swing(run_feedback(UnlimitedWeights, lag, gain=6))
     assert load_swing(run_feedback(WeightRamp, lag, gain=6)) < naive
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_retries.py
@@ -191,7 +191,8 @@
 
     Ten of thirty endpoints fail for twenty seconds at a load of 0.8; the others
     can serve five callers in six. With immediate retries, requests time out
-    behind the retries of others, also after the endpoints have returned.
+    behind the retries of other requests, even after the endpoints have
+    returned.
     """
     naive = run_outage(ImmediateRetries(), seed, load=0.8)
     budgeted = run_outage(build_budgeted(seed), seed, load=0.8)
--- a/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
@@ -26,10 +26,11 @@
 from .views import ASSUMED_PREFILL_RATE, EndpointView
 
 #: Prefill that may be queued at an engine while further requests are sent, in
-#: seconds: a fifth of the tightest target, 0.49 s.
+#: seconds: a fifth of the tightest target, which is 0.49 s.
 PREFILL_WINDOW_SECONDS = 0.1
-#: Backlog of other entries from which it is assumed to contain a long prompt,
-#: in seconds of prefill. The windows of ten entries add up to one second.
+#: Backlog of other entries, in seconds of prefill, that is assumed to contain a
+#: long prompt. Without long prompts, ten entries that each fill their window of
+#: `PREFILL_WINDOW_SECONDS` cause a backlog of one second.
 LONG_BACKLOG_SECONDS = 1.0
 #: Maximum number of concurrent calls at a plain service. At 50 ms per call, one
 #: replica serves 640 calls per second; a longer queue only delays the calls.
@@ -41,8 +42,8 @@
 
     Except for the memory, `view` is the last report minus the work of this
     entry. `sent_requests` and `sent_new_tokens` are the work that this entry
-    has at the endpoint now. Their sums are the best available estimate of the
-    total.
+    has at the endpoint now. The sum of both estimates the total work at the
+    endpoint.
 
     Attributes
     ----------
@@ -100,7 +101,7 @@
         return ENGINE_PRIORITIES[band] < self.open_bands
 
     def refresh(self) -> None:
-        """Recompute for how many bands it is open, shortest bands first."""
+        """Recompute the number of bands for which the endpoint is open."""
         self.open_bands = 0
         if not self.live_weight:
             return
@@ -118,7 +119,7 @@
             self.open_bands += 1
 
     def tokens_ahead(self, band: PromptBand) -> int:
-        """Return the prompt tokens that the engine computes up to a band."""
+        """Return the pending prompt tokens of a band and shorter bands."""
         return sum(self.pending[: ENGINE_PRIORITIES[band] + 1])
 
     def apply_report(self, report: EndpointView) -> None:
@@ -237,7 +238,7 @@
         return self._live_weight
 
     def invalidate_live_weight(self) -> None:
-        """Recompute the result of `live` after a change of an endpoint."""
+        """Discard the cached sum of weights after a change of an endpoint."""
         self._live_weight = None
 
 
