--- a/packages/sycamore-core/src/sycamore_core/decisions/replays.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/replays.py
@@ -1,4 +1,4 @@
-"""Replays of single decisions with the modules that made them."""
+"""Replays of single decisions with the modules that make the decisions."""
 
 import functools
 import itertools
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_placement.py
@@ -117,8 +117,10 @@
         while len(self.history) > 1 and self.history[1][0] <= seen:
             self.history.pop(0)
         backlog = max(0, self.history[0][1] - seen) * self.rate
-        running = [one for one in self.runs if one[0] <= seen < one[1]]
-        self.runs = [one for one in self.runs if seen < one[1]]
+        running = [
+            period for period in self.runs if period[0] <= seen < period[1]
+        ]
+        self.runs = [period for period in self.runs if seen < period[1]]
         return msgspec.structs.replace(
             self.view,
             backlog_tokens=int(backlog),
@@ -141,8 +143,10 @@
         interval: float = 1,
         lag: float = 0,
     ) -> None:
-        self.engines = {one.view.endpoint: one for one in engines}
-        self.entries = [(one, CandidatePool()) for one in placements]
+        self.engines = {engine.view.endpoint: engine for engine in engines}
+        self.entries = [
+            (placement, CandidatePool()) for placement in placements
+        ]
         self.interval = interval
         self.lag = lag
         self.next_report = float(0)
@@ -156,7 +160,7 @@
         return [self._run_one(arrival, draw) for arrival in arrivals]
 
     def computed_tokens(self) -> int:
-        return sum(one.computed_tokens for one in self.engines.values())
+        return sum(engine.computed_tokens for engine in self.engines.values())
 
     def _run_one(
         self,
@@ -182,7 +186,9 @@
 
 
 def build_engines(size: int, cache_blocks: int = 4000) -> list[EngineModel]:
-    return [EngineModel(build_view(one), cache_blocks) for one in range(size)]
+    return [
+        EngineModel(build_view(number), cache_blocks) for number in range(size)
+    ]
 
 
 def build_conversations(
@@ -270,7 +276,9 @@
     """Placement on the endpoint with the least reported backlog."""
 
     def place(self, request, candidates, now, draw):
-        chosen = min(candidates, key=lambda one: one.view.backlog_tokens)
+        chosen = min(
+            candidates, key=lambda candidate: candidate.view.backlog_tokens
+        )
         return PlacementDecision(
             endpoint=chosen.view.endpoint,
             reason=PlacementReason.LEAST_LOADED,
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/builders_retries.py
@@ -38,7 +38,7 @@
 
 class RetryPolicy(abc.ABC):
     @abc.abstractmethod
-    def first_try(self, now):
+    def first_attempt(self, now):
         """Record a first attempt."""
 
     @abc.abstractmethod
@@ -53,7 +53,7 @@
 class ImmediateRetries(RetryPolicy):
     """Immediate retries until the time limit; the naive baseline."""
 
-    def first_try(self, now):
+    def first_attempt(self, now):
         """Do nothing."""
 
     def answered(self, now):
@@ -73,7 +73,7 @@
         self.budget = RetryBudget()
         self.draw = draw
 
-    def first_try(self, now):
+    def first_attempt(self, now):
         self.budget.record_first_attempt(now)
 
     def answered(self, now):
@@ -131,7 +131,7 @@
     def _attempt(self, now, arrived, attempt):
         deadline = arrived + TIME_LIMIT
         if attempt == 0:
-            self.policy.first_try(now)
+            self.policy.first_attempt(now)
         self.attempts += 1
         done, is_answered = self._offer(self._choose(now), now)
         if is_answered and done <= deadline:
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_affinity.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_affinity.py
@@ -33,7 +33,9 @@
         index.record(hashes(tokens), endpoint, now)
     found = index.matches(hashes(prompt), now=len(sent))
     for endpoint, blocks in found.blocks.items():
-        beginnings = [one[0][:blocks] for one in sent if one[1] == endpoint]
+        beginnings = [
+            record[0][:blocks] for record in sent if record[1] == endpoint
+        ]
         assert prompt[:blocks] in beginnings
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_explain.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_explain.py
@@ -17,7 +17,7 @@
 
 
 def figures(explanation):
-    return {one.name: one.shown for one in explanation.figures}
+    return {figure.name: figure.shown for figure in explanation.figures}
 
 
 def replay_placement(**changes):
@@ -109,7 +109,7 @@
     case = {
         'decision': 'schedule',
         'tree': tree,
-        'endpoints': [one.view for one in build_pool(3)],
+        'endpoints': [candidate.view for candidate in build_pool(3)],
         'requests': [build_request()],
     }
     return replay(**(case | changes))
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair.py
@@ -22,9 +22,9 @@
 
 def dispatch_ids(scheduler, now):
     return [
-        one.request_id
-        for one in scheduler.dispatch(now)
-        if isinstance(one, Dispatch)
+        decision.request_id
+        for decision in scheduler.dispatch(now)
+        if isinstance(decision, Dispatch)
     ]
 
 
@@ -79,11 +79,13 @@
         scheduler.submit(build_request(f'a{number}'), 0)
         for number in range(100)
     ]
-    refused = [one for one in answers if isinstance(one, Refusal)]
-    assert 0 < len(refused) < 100
-    assert {one.reason for one in refused} == {RefusalReason.OVERLOADED}
-    assert all(one.retry_after > 0 for one in refused)
-    assert all('(share 1.000)' in one.detail for one in refused)
+    refusals = [answer for answer in answers if isinstance(answer, Refusal)]
+    assert 0 < len(refusals) < 100
+    assert {refusal.reason for refusal in refusals} == {
+        RefusalReason.OVERLOADED
+    }
+    assert all(refusal.retry_after > 0 for refusal in refusals)
+    assert all('(share 1.000)' in refusal.detail for refusal in refusals)
 
 
 def test_request_without_target_is_refused_only_for_its_time_limit():
@@ -95,7 +97,9 @@
         )
         for number in range(400)
     ]
-    reasons = {one.reason for one in answers if isinstance(one, Refusal)}
+    reasons = {
+        answer.reason for answer in answers if isinstance(answer, Refusal)
+    }
     assert reasons == {RefusalReason.DEADLINE_UNREACHABLE}
 
 
@@ -146,7 +150,9 @@
         scheduler.submit(build_request(f'a{number}', target_seconds=0), 0)
     dispatch_ids(scheduler, 0)
     refusals = scheduler.dispatch(31)
-    assert {one.reason for one in refusals} == {RefusalReason.DEADLINE_PASSED}
+    assert {refusal.reason for refusal in refusals} == {
+        RefusalReason.DEADLINE_PASSED
+    }
     assert not scheduler.snapshot(31).waiting
 
 
@@ -195,7 +201,9 @@
     for number in range(20):
         scheduler.submit(build_huge(f'a{number}', target_seconds=0), 0)
     sent = [scheduler.dispatch(step / 10) for step in range(20)]
-    engines = {one.endpoint for decisions in sent for one in decisions}
+    engines = {
+        decision.endpoint for decisions in sent for decision in decisions
+    }
     assert len(engines) == 3
 
 
@@ -221,7 +229,7 @@
         request = build_request(f'a{number}', pinned_to='e3')
         assert isinstance(scheduler.submit(request, 0), Queued)
     sent = scheduler.dispatch(0)
-    assert {one.endpoint for one in sent} == {'e3'}
+    assert {decision.endpoint for decision in sent} == {'e3'}
 
 
 def test_pinned_request_is_refused_when_its_endpoint_leaves():
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_machine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_machine.py
@@ -151,9 +151,9 @@
         snapshot = self.scheduler.snapshot(self.now)
         assert snapshot.waiting == len(self.waiting)
         assert snapshot.running == len(self.sent)
-        assert sum(one.waiting for one in snapshot.workspaces) == len(
-            self.waiting,
-        )
+        assert sum(
+            workspace.waiting for workspace in snapshot.workspaces
+        ) == len(self.waiting)
 
     @invariant()
     def counts_at_endpoints_are_never_negative(self):
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_group_reservation.py
@@ -50,8 +50,9 @@
 def test_groups_with_shared_members_do_not_deadlock():
     """Guards against a deadlock of two groups with the same members.
 
-    The groups name their members in opposite order. If each reserved its first
-    member and waited for the other one, both would reach the time limit.
+    The groups name their members in opposite order. If each group reserved its
+    first member and waited for the other member, both reservations would time
+    out.
     """
     network = GroupNetwork()
     first = network.start_group(('e1', 'e2'))
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_health.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_health.py
@@ -61,7 +61,7 @@
                 latency_ratio=8,
             )
         health.weights(NAMES, now)
-    assert all(health.state(one) == HealthState.HEALTHY for one in NAMES)
+    assert all(health.state(name) == HealthState.HEALTHY for name in NAMES)
 
 
 def test_abandoned_requests_are_not_failures():
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_placement.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_placement.py
@@ -175,8 +175,8 @@
         view.long_tokens += request.lease_tokens
         placed += 1
     assert placed > 1
-    assert sum(1 for one in pool if one.view.long_tokens) <= 4
-    assert min(one.view.free_tokens for one in pool) >= 100_000
+    assert sum(1 for candidate in pool if candidate.view.long_tokens) <= 4
+    assert min(candidate.view.free_tokens for candidate in pool) >= 100_000
     assert decision.reason == PlacementReason.LONG_WORK_FULL
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_retries.py
@@ -114,12 +114,12 @@
         super().__init__()
         self.budget = RetryBudget()
         self.now = 0
-        self.first_tries = 0
+        self.first_attempts = 0
         self.retries = 0
 
     @stateful.rule(count=st.integers(1, 200))
-    def first_try(self, count):
-        self.first_tries += count
+    def first_attempt(self, count):
+        self.first_attempts += count
         for _ in range(count):
             self.budget.record_first_attempt(self.now)
 
@@ -162,7 +162,7 @@
     @stateful.invariant()
     def retries_stay_within_budget(self):
         idle_retries = IDLE_RETRIES * (1 + self.now / BALANCE_DECAY_SECONDS)
-        allowed = idle_retries + RETRY_CREDIT * self.first_tries
+        allowed = idle_retries + RETRY_CREDIT * self.first_attempts
         assert self.retries <= math.ceil(allowed)
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tracked.py
@@ -234,7 +234,7 @@
     def total_weight(self) -> float:
         """Return the sum of the weights of the endpoints that accept work."""
         if self._live_weight is None:
-            self._live_weight = sum(one.live_weight for one in self)
+            self._live_weight = sum(candidate.live_weight for candidate in self)
         return self._live_weight
 
     def invalidate_live_weight(self) -> None:
