--- a/packages/sycamore-core/src/sycamore_core/decisions/fair.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/fair.py
@@ -149,7 +149,7 @@
         return Queued(estimate.until_first_token)
 
     def dispatch(self, now: float) -> Sequence[Decision]:
-        """Decide which requests are sent now, and refuse those too late.
+        """Choose requests to send now, and refuse expired and late requests.
 
         A request is expired when its time limit has passed, and late when it
         can no longer meet its target.
@@ -180,7 +180,7 @@
             self.endpoints.record_accepted(sent, now)
 
     def declined(self, refusal: Refusal, now: float) -> Requeued | Refusal:
-        """Queue a declined request for another attempt, or refuse it."""
+        """Queue a request again after an endpoint declined it, or refuse it."""
         sent = self.dispatcher.pop_sent(refusal.request_id)
         if sent is None:
             return _unknown_request(refusal.request_id)
@@ -193,7 +193,7 @@
         reason: RetryReason,
         now: float,
     ) -> Requeued | Refusal:
-        """Queue a request whose attempt failed once more, or refuse it."""
+        """Queue a request again after a failed attempt, or refuse it."""
         sent = self.dispatcher.pop_sent(request_id)
         if sent is None:
             return _unknown_request(request_id)
@@ -201,7 +201,7 @@
         return self._retry(sent.waiting, reason, now)
 
     def first_token(self, request_id: RequestId, now: float) -> None:
-        """Record that the first token has arrived: the prefill has ended."""
+        """Record that the first token has arrived and the prefill ended."""
         sent = self.dispatcher.sent.get(request_id)
         if sent is None or sent.first_token_at is not None:
             return
