--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_machine.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_fair_machine.py
@@ -19,7 +19,7 @@
 
 
 class FairSchedulerMachine(RuleBasedStateMachine):
-    """Each request ends once and leaves no counts, for any event order."""
+    """Each request ends once and leaves no work counted, in any event order."""
 
     def __init__(self):
         super().__init__()
@@ -151,16 +151,16 @@
         snapshot = self.scheduler.snapshot(self.now)
         assert snapshot.waiting == len(self.waiting)
         assert snapshot.running == len(self.sent)
-        assert sum(one.waiting for one in snapshot.workspaces) == len(
-            self.waiting,
-        )
+        assert sum(
+            workspace.waiting for workspace in snapshot.workspaces
+        ) == len(self.waiting)
 
     @invariant()
     def counts_at_endpoints_are_never_negative(self):
-        for entry in self.scheduler.endpoints.records.values():
-            assert entry.candidate.sent_requests >= 0
-            assert entry.candidate.own_tokens >= 0
-            assert min(entry.candidate.pending) >= 0
+        for record in self.scheduler.endpoints.records.values():
+            assert record.candidate.sent_requests >= 0
+            assert record.candidate.own_tokens >= 0
+            assert min(record.candidate.pending) >= 0
 
     def teardown(self):
         """After the last time limit, nothing waits and no memory is charged."""
@@ -172,9 +172,9 @@
         assert not self.waiting
         for name in tuple(self.sent):
             self.scheduler.finished(name, Outcome.TIMEOUT, self.now)
-        for entry in self.scheduler.endpoints.records.values():
-            assert entry.candidate.own_tokens == 0
-            assert not any(entry.candidate.pending)
+        for record in self.scheduler.endpoints.records.values():
+            assert record.candidate.own_tokens == 0
+            assert not any(record.candidate.pending)
 
 
 FairSchedulerMachine.TestCase.settings = settings(
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_health.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_health.py
@@ -61,7 +61,7 @@
                 latency_ratio=8,
             )
         health.weights(NAMES, now)
-    assert all(health.state(one) == HealthState.HEALTHY for one in NAMES)
+    assert all(health.state(name) == HealthState.HEALTHY for name in NAMES)
 
 
 def test_abandoned_requests_are_not_failures():
@@ -136,7 +136,7 @@
 
 
 class HealthMachine(stateful.RuleBasedStateMachine):
-    """Arbitrary observations and fleets: the cap holds, all can recover."""
+    """The cap holds and all endpoints can recover, for any observations."""
 
     def __init__(self):
         super().__init__()
--- a/packages/sycamore-core/src/sycamore_core/decisions/tests/test_retries.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/tests/test_retries.py
@@ -114,12 +114,12 @@
         super().__init__()
         self.budget = RetryBudget()
         self.now = 0
-        self.first_tries = 0
+        self.first_attempts = 0
         self.retries = 0
 
     @stateful.rule(count=st.integers(1, 200))
-    def first_try(self, count):
-        self.first_tries += count
+    def first_attempt(self, count):
+        self.first_attempts += count
         for _ in range(count):
             self.budget.record_first_attempt(self.now)
 
@@ -162,7 +162,7 @@
     @stateful.invariant()
     def retries_stay_within_budget(self):
         idle_retries = IDLE_RETRIES * (1 + self.now / BALANCE_DECAY_SECONDS)
-        allowed = idle_retries + RETRY_CREDIT * self.first_tries
+        allowed = idle_retries + RETRY_CREDIT * self.first_attempts
         assert self.retries <= math.ceil(allowed)
 
 
@@ -191,7 +191,8 @@
 
     Ten of thirty endpoints fail for twenty seconds at a load of 0.8; the others
     can serve five callers in six. With immediate retries, requests time out
-    behind the retries of others, also after the endpoints have returned.
+    behind the retries of other requests, even after the endpoints have
+    returned.
     """
     naive = run_outage(ImmediateRetries(), seed, load=0.8)
     budgeted = run_outage(build_budgeted(seed), seed, load=0.8)
