--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/asked_rests.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/asked_rests.py
@@ -8,16 +8,17 @@
 chosen first for each following request. The refused requests are retried at
 another endpoint, which delays them and consumes the retry budget.
 
-A backoff is a hard bound and not a cost. It applies however the other endpoints
-compare, and an answer to an earlier request does not end it. After the backoff
-the entry sends one probe request first. If all waiting requests were sent at
-once, an endpoint that is still full would refuse most of them. An endpoint
-refuses within milliseconds; if no refusal arrives, the endpoint has accepted
-the probe and other requests may follow.
+A backoff is a hard bound and not a cost: the entry sends the endpoint no
+request until the backoff ends, even if every other endpoint is a worse choice.
+An answer to an earlier request does not end the backoff. After the backoff the
+entry sends one probe request first. If all waiting requests were sent at once,
+an endpoint that is still full would refuse most of them. An endpoint refuses
+within milliseconds; if no refusal arrives, the endpoint has accepted the probe
+and other requests may follow.
 
 Backoffs are not reported to peers. The endpoint requested the backoff from this
-entry only. If all entries applied it, they would stop sending to the endpoint,
-and start again, at the same moment.
+entry only. If all entries applied it, all of them would stop sending to the
+endpoint at one moment, and all would start again at one later moment.
 """
 
 import msgspec
@@ -30,8 +31,8 @@
 #: Time after which a probe counts as accepted if it was not refused, in
 #: seconds.
 PROBE_TIMEOUT_SECONDS = 0.1
-#: Upper bound of the endpoint lifetimes that are stored: several for each
-#: endpoint.
+#: Upper bound of the number of endpoint lifetimes that are stored. It allows
+#: for several lifetimes of each endpoint.
 _MAX_REMEMBERED = 4000
 
 
@@ -104,7 +105,7 @@
             self._prune(now)
 
     def record_send(self, endpoint: EndpointLifetime, now: float) -> None:
-        """Record that a request is sent to any endpoint.
+        """Record that a request is sent, with or without a backoff.
 
         The first request after a backoff is the probe.
         """
@@ -119,8 +120,8 @@
     def record_acceptance(self, endpoint: EndpointLifetime) -> None:
         """Record that an endpoint did not refuse a request.
 
-        This ends a backoff only if its probe was sent. Before that, the
-        accepted request may have been sent before the backoff began.
+        This ends a backoff only if its probe was sent. Otherwise the accepted
+        request may have been sent before the backoff began.
         """
         backoff = self.backoffs.get(endpoint)
         if backoff is not None and backoff.probe_sent_at is not None:
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/cells.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/cells.py
@@ -10,10 +10,12 @@
 every request to all others, so the traffic grows with the square of the number
 of entries, and a decision compares dozens of engines that are equivalent.
 
-A cell is an availability zone. The entries of a cell report to one another at
-once and place requests on the engines of their cell first. The reports that an
-entry has of other cells are about a second old. The entry uses engines of other
-cells only if the best plan in its own cell would miss an objective.
+In a large fleet, each availability zone with entries is a cell; a small fleet
+is a single cell. The entries of a cell report to one another at once and place
+requests on the engines of their cell first. The reports that an entry has of
+other cells are about a second old. The entry considers engines of other cells
+only if its own cell has no plan, or if the best plan there is likely to miss an
+objective.
 """
 
 from collections.abc import Sequence
@@ -27,15 +29,17 @@
 from .plan import ReadPlan, ReadRequest
 from .read_plan import is_short_request, plan_read
 
-#: Plan cost from which other cells are considered for a short request, as a
-#: fraction of the request's own weight. Below it, no objective is missed.
+#: Lowest plan cost at which other cells are considered for a short request, as
+#: a fraction of the request's own weight. At a lower cost, no objective is
+#: expected to be missed.
 _SHORT_SPILL_FRACTION = 0.15
-#: The same for a long prompt: other cells are considered only if its own
-#: objective is almost certainly missed. The parts of a long prompt go ahead of
-#: all prompts that are queued at an engine. In another cell, some of these are
-#: not reported yet, and they would miss their objectives. If long prompts
-#: spilled as early as short requests, they would make more answers late in the
-#: other cell than they save in their own.
+#: The same for a long prompt: other cells are considered only if the objective
+#: of the long prompt is almost certainly missed. The parts of a long prompt go
+#: ahead of all prompts that are queued at an engine. In another cell, some of
+#: the queued prompts are not reported yet, and they would miss their
+#: objectives. If long prompts were sent to other cells at as low a cost as
+#: short requests, they would make more answers late there than they would keep
+#: on time in their own cell.
 _LONG_SPILL_FRACTION = 0.6
 #: Added to the cost of each engine of another cell, in missed objectives. The
 #: load of such an engine was reported about a second ago, and dozens of short
@@ -95,9 +99,12 @@
     costs: EngineCosts,
     now: float,
 ) -> ReadPlan | None:
-    """Return the plan with the lowest cost.
+    """Return the best plan of the own cell or, if it costs too much, of all.
 
-    None if no engine has a free slot, or if the memory does not suffice.
+    Engines of other cells are considered only if the own cell has no plan, or
+    if the cost of its best plan reaches a limit, which is higher for long
+    prompts. Returns None if no engine has a free slot, or if the memory does
+    not suffice.
 
     Parameters
     ----------
@@ -130,12 +137,12 @@
     engine: KnownEngine,
     registry: LoadRegistry,
     now: float,
-    distance_cost: float = 0,
+    added_cost: float = 0,
 ) -> Candidate:
     return Candidate(
         engine.endpoint,
         registry.load(engine.endpoint, now),
-        engine.penalty + distance_cost,
+        engine.penalty + added_cost,
         engine.tie_break,
     )
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_records.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_records.py
@@ -26,8 +26,8 @@
     had_just_begun
         Whether the request had run for a moment at most.
     is_cleared
-        Whether the request was answered after the crash, so that it is not
-        the cause.
+        Whether the request was answered after the crash, which shows that it
+        was not the cause.
     """
 
     at: float
@@ -41,7 +41,7 @@
 
 
 class CrashRecord(msgspec.Struct):
-    """The crashes of one content.
+    """The crashes of endpoints that ran requests with one content.
 
     Attributes
     ----------
@@ -85,9 +85,10 @@
     def add(self, report: CrashReport, now: float) -> None:
         """Add a new crash, if there is capacity for it.
 
-        A new crash replaces the oldest cleared one. Without this, a popular
-        request that was cleared of `_MAX_CRASHES` crashes would not be
-        suspected of any later crash.
+        If the record is full, a new crash replaces the oldest cleared one. If
+        no crash is cleared, the new crash is dropped. Without the replacement,
+        a popular request that was cleared of `_MAX_CRASHES` crashes would not
+        be suspected of any later crash.
         """
         if len(self.crashes) >= _MAX_CRASHES and not self._drop_cleared():
             return
@@ -154,14 +155,18 @@
         content: ContentDigest,
         endpoints: Iterable[EndpointLifetime],
     ) -> set[ContentDigest]:
-        """Return the suspects of some crashes, except one content."""
+        """Return the other contents that are suspected of these crashes."""
         found: set[ContentDigest] = set()
         for endpoint in endpoints:
             found.update(self._by_endpoint.get(endpoint, ()))
         return found - {content}
 
     def share(self, endpoint: EndpointLifetime) -> float:
-        """Return the share of each suspect in a crash."""
+        """Return the share with which a crash counts against each suspect.
+
+        The share is 1 divided by the number of suspects, and 1 if there is no
+        suspect.
+        """
         return 1 / max(1, len(self._by_endpoint.get(endpoint, ())))
 
 
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_registry.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/crash_registry.py
@@ -14,8 +14,8 @@
 #: no other suspect, or one such crash and one with another suspect.
 _MIN_CRASH_SHARES = 1.5
 #: How long a crash counts, in seconds. Within this time operators repair or
-#: replace the model. A further trial after this time crashes one or two
-#: endpoints.
+#: replace the model. If they do not, a further trial after this time crashes
+#: one or two endpoints.
 QUARANTINE_SECONDS = 900.0
 #: Upper bound of the contents that are stored.
 MAX_CONTENTS = 256
@@ -47,7 +47,7 @@
         self._by_prefix: dict[bytes, set[ContentDigest]] = {}
 
     def may_contain(self, digest_prefix: bytes) -> bool:
-        """Return whether a content may be stored, by half of its digest.
+        """Return whether some stored content has this half of the digest.
 
         Parameters
         ----------
@@ -119,7 +119,7 @@
                 self.suspects.discard(content, endpoint)
 
     def recent_reports(self, now: float) -> tuple[CrashReport, ...]:
-        """Return the recent changes, for every message to peers."""
+        """Return reports of recent changes, for every message to peers."""
         start = now - _RECENT_SECONDS
         recent = [
             content
@@ -129,7 +129,7 @@
         return self._build_reports(recent[-_MAX_RECENT_CONTENTS:], now)
 
     def rotating_reports(self, now: float) -> tuple[CrashReport, ...]:
-        """Return the recent changes and some of the quarantined contents."""
+        """Return reports of recent changes and some quarantined contents."""
         quarantined = [
             content
             for content, record in self.records.items()
@@ -142,7 +142,7 @@
         return tuple(dict.fromkeys((*self.recent_reports(now), *repeated)))
 
     def all_reports(self, now: float) -> tuple[CrashReport, ...]:
-        """Return all crashes, for a peer that joins."""
+        """Return the reports of all crashes, for a peer that joins."""
         return self._build_reports(self.records, now)
 
     def _build_reports(
@@ -170,7 +170,7 @@
         for endpoint in record.crashes:
             self.suspects.discard(content, endpoint)
         digest_prefix = content[:HASH_BYTES]
-        sharing = self._by_prefix[digest_prefix]
-        sharing.discard(content)
-        if not sharing:
+        same_prefix = self._by_prefix[digest_prefix]
+        same_prefix.discard(content)
+        if not same_prefix:
             self._by_prefix.pop(digest_prefix)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_harm.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/engine_harm.py
@@ -24,8 +24,8 @@
 #: Fraction of the time to the first event that can be used up without cost.
 #: The rest covers the entry, the network and errors of the forecast.
 SAFE_FIRST_EVENT_FRACTION = 0.85
-#: The same for a prompt that is already waiting. The next part goes ahead of
-#: the prompt too, and so does the part after that.
+#: The same for a prompt that is already waiting. The parts that arrive next
+#: also go ahead of the waiting prompt.
 _SAFE_WAITING_FRACTION = 0.5
 #: The same for the pauses of a stream. The next pass also reads the prompts
 #: that arrive meanwhile.
@@ -180,9 +180,9 @@
     def cost_behind(self, read_ms: float) -> float:
         """Return the cost of a prompt that is read after the queued prompts.
 
-        The pause of a request that is queued on an engine without streams is
-        included. Without this, a short request that was just sent would cost
-        nothing until its first event arrives. A prompt that is placed behind
+        If the engine has no streams, the pauses of the queued requests are
+        included. Without this, a short request that was just sent would add
+        no cost until its first event arrives. A prompt that is placed behind
         the short request is read in the first pass of the short answer, which
         then pauses for the whole reading time.
         """
@@ -208,7 +208,7 @@
         )
 
     def delay_costs(self, part_ms: float) -> dict[str, float]:
-        """Return the cost for each queued prompt that is delayed, by key."""
+        """Return the cost of delaying each queued prompt, by the prompt key."""
         forecast = self.forecast
         return {
             prompt.key: prompt.weight
@@ -224,7 +224,10 @@
         }
 
     def pause_cost(self, part_ms: float) -> float:
-        """Return the cost for streams that pause while a part is read."""
+        """Return the cost of the pauses of streams while a part is read.
+
+        The base cost of the engine is included.
+        """
         forecast = self.forecast
         before = forecast.pass_ms + forecast.queued_ms
         after = before + part_ms
@@ -245,8 +248,8 @@
             Longest pause that the request's objective allows, in
             milliseconds; 0 if it has no such objective.
         """
-        missing = self._packed_streams - self.load.requests
-        cost = abs(missing) * _PACKING_COST
+        deviation = self._packed_streams - self.load.requests
+        cost = abs(deviation) * _PACKING_COST
         if pause_ms:
             pause = (
                 self.pass_ms + self.forecast.busy_ms
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/failures.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/failures.py
@@ -1,8 +1,8 @@
 """Failing endpoints, by this entry's own attempts and by reports of peers.
 
 Load pattern: a sixth of the engines of a zone stop responding at the same time
-and stay registered for some seconds. Thirteen entries place short requests
-there.
+and stay registered for some seconds. Thirteen entries place short requests on
+these engines.
 
 Without this, each entry detects the failure by itself, and again after each
 backoff. The short request that detects it waits for 0.8 s and is late, so that
@@ -22,17 +22,17 @@
 
 from ...ids import EndpointId
 
-#: Backoff after a first failure, which doubles with each further failure in a
-#: row, and its upper bound, in seconds.
+#: Backoff after a first failure, in seconds. It doubles with each further
+#: failure in a row, up to `MAX_BACKOFF_SECONDS`.
 INITIAL_BACKOFF_SECONDS = 0.4
 MAX_BACKOFF_SECONDS = 4.0
-#: Upper bound of the failing endpoints that an entry reports. An entry that
-#: cannot reach more is more likely at fault itself, and its reports would keep
-#: all peers away from healthy endpoints.
+#: Number of failing endpoints up to which an entry reports them. An entry that
+#: cannot reach more endpoints reports none: it is more likely at fault itself,
+#: and its reports would keep all peers away from healthy endpoints.
 MAX_REPORTED = 6
 #: Age up to which activity of an endpoint at this entry outweighs a peer's
-#: report, in seconds. A short request that waits for a silent engine has waited
-#: for less than this.
+#: report, in seconds. A short request waits for a silent engine for less than
+#: this.
 RECENT_ACTIVITY_SECONDS = 1.0
 
 
@@ -126,7 +126,7 @@
         Returns
         -------
         list
-            The endpoints for which this begins a backoff.
+            The endpoints for which the report begins a backoff.
         """
         failing = [
             endpoint
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/pass_forecast.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/pass_forecast.py
@@ -23,9 +23,9 @@
 #: Mean fraction of a pass that remains when a request arrives.
 _MEAN_REMAINING_FRACTION = 0.5
 #: Estimate of the remaining time of overdue reading, as a fraction of the time
-#: by which it is overdue. An engine with unreported load takes longer than
-#: estimated. Without this, the engine would look idle once the estimate has
-#: passed and attract more work.
+#: by which it is overdue. An engine with unreported load reads for longer than
+#: estimated. Without this, the engine would look idle after the estimated time
+#: and attract more work.
 _OVERDUE_FRACTION = 0.5
 
 
@@ -97,7 +97,8 @@
     unread: Sequence[UnreadPrompt], pass_ms: float
 ) -> PassForecast:
     """Return the forecast of an engine that generates."""
-    # Simulates the passes from the oldest prompt on. The current time is 0.
+    # Simulates the passes from the oldest prompt on. Times are in milliseconds
+    # and relative to now, so that a time in the past is negative.
     queue = sorted(unread, key=_sent_ms)
     begins = -math.inf
     ends = -math.inf
@@ -171,7 +172,7 @@
 def _pending_after(
     pending: list[_PendingRead], time_ms: float
 ) -> list[_PendingRead]:
-    """Return the reading that remains after some time."""
+    """Advance the reading by some time; return the unfinished prompts."""
     for reading in _in_read_order(pending):
         spent = min(time_ms, reading.remaining_ms)
         reading.remaining_ms -= spent
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_attempts.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_attempts.py
@@ -17,13 +17,13 @@
     kind: RouteKind,
     ends: list[AttemptEnd],
     max_attempts: int,
-    begins_with: int,
+    first_answering_attempt: int,
 ) -> list[tuple[AttemptLog, NextStep]]:
-    """Return the log and the step after each attempt until the last one.
+    """Return the log and the step after each attempt, while it is retried.
 
     Parameters
     ----------
-    begins_with
+    first_answering_attempt
         Number of the first attempt that may begin an answer, from 0.
     """
     log = AttemptLog()
@@ -33,7 +33,7 @@
         log.record(end)
         has_run = end in {AttemptEnd.BROKEN, AttemptEnd.SILENT}
         log.answer_has_begun = log.answer_has_begun or (
-            has_run and number >= begins_with
+            has_run and number >= first_answering_attempt
         )
         step = next_step(
             kind,
@@ -52,20 +52,21 @@
     kind=KINDS,
     ends=st.lists(ENDS, min_size=1, max_size=6),
     max_attempts=st.integers(1, MAX_ATTEMPTS),
-    begins_with=st.integers(0, 6),
+    first_answering_attempt=st.integers(0, 6),
 )
 def test_steps_preserve_the_guarantees(
     kind: RouteKind,
     ends: list[AttemptEnd],
     max_attempts: int,
-    begins_with: int,
+    first_answering_attempt: int,
 ) -> None:
-    """Guards against duplicate runs and untrue answers after any failures.
+    """Guards against duplicate runs and false reports after any failures.
 
-    A deposit would be recorded twice, an answer would be composed of two runs,
-    or a caller would receive "not run" although the request ran.
+    With a wrong step, a request that must run only once, such as a deposit,
+    could run twice, an answer could be composed of two runs, or a caller could
+    receive "not run" although the request ran.
     """
-    for log, step in steps(kind, ends, max_attempts, begins_with):
+    for log, step in steps(kind, ends, max_attempts, first_answering_attempt):
         if step == NextStep.REFUSE:
             assert log.may_have_run == 0
         if step != NextStep.RETRY:
@@ -94,14 +95,15 @@
     gaps=st.lists(st.floats(0, 1), min_size=1, max_size=60),
     first_attempts=st.integers(0, 40),
 )
-def test_retries_of_all_entries_stay_within_the_limit(
+def test_retries_of_one_entry_stay_within_its_share(
     entries: int,
     gaps: list[float],
     first_attempts: int,
 ) -> None:
     """Guards against retries of partitioned entries that overload endpoints.
 
-    All entries retry as often as they may, without reports from each other.
+    Each entry retries as often as it may, without reports from the others. The
+    test checks one entry against its share of the limit.
     """
     bounds = RetryBudgetLimit(ratio=0.2, slack=100, window=10)
     budget = SharedRetryBudget(bounds)
--- a/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
+++ b/packages/sycamore-core/src/sycamore_core/decisions/direct/tests/test_read_plan.py
@@ -72,7 +72,7 @@
 
 
 def test_short_requests_are_packed_and_not_split() -> None:
-    """Packing leaves other engines free for long parts."""
+    """Packing leaves idle engines free for parts of long prompts."""
     plan = plan_for(
         short_request(), [*idle_engines(10), *generating_engines(1)]
     )
@@ -104,10 +104,10 @@
 
 
 def test_long_part_keeps_away_from_streams() -> None:
-    """Half of the engines generate short answers, and the others are idle.
+    """A long prompt arrives while half of the engines generate short answers.
 
-    If the prompt were read by the engines with streams, each stream would
-    pause for longer than its objective allows.
+    The other engines are idle. If the prompt were read by the engines with
+    streams, each stream would pause for longer than its objective allows.
     """
     plan = plan_for(
         long_request(300_000), [*generating_engines(9), *idle_engines(9)]
@@ -142,17 +142,21 @@
 def test_delay_of_one_prompt_counts_once() -> None:
     """A shorter prompt arrives while all engines read parts of a huge one.
 
-    A delay of the huge prompt at two engines costs no more than at one.
+    Delaying one huge prompt at all engines costs less than delaying a
+    different prompt at each engine.
     """
-    everywhere = [
+    one_prompt = [
         reading_engine(number, 1100, slack_ms=1400) for number in range(18)
     ]
-    apart = [
+    separate_prompts = [
         reading_engine(number, 1100, key=f'long-{number}', slack_ms=1400)
         for number in range(18)
     ]
     request = long_request(45_000, objective_ms=1500)
-    assert plan_for(request, everywhere).cost < plan_for(request, apart).cost
+    assert (
+        plan_for(request, one_prompt).cost
+        < plan_for(request, separate_prompts).cost
+    )
 
 
 def test_no_plan_without_a_free_slot() -> None:
