--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/callers/exchange.py
@@ -43,7 +43,8 @@
         Excluded endpoints that answered with a failure of their own. They are
         used again if no other endpoint accepts the request.
     outcome
-        Outcome of the request; sends the answer if no endpoint gave one.
+        Records how the request ended. Sends the caller a refusal or a failure
+        if no endpoint answered.
     first_event_ms
         Time from the request's arrival to the first event of the answer, in
         milliseconds; negative before.
@@ -168,7 +169,8 @@
         Raises
         ------
         Refusal
-            If no endpoint is free, and none has answered before.
+            If no endpoint is free, and no earlier attempt got a failure that
+            can be relayed.
         """
         try:
             return await placer.place(
@@ -193,13 +195,13 @@
         self.attempts.record(error.end)
         self.attempts.answer_has_begun = self.answer.has_begun
         await self.crashes.handle_failed_attempt(call, attempt, error)
-        at_fault = self._exclude(attempt, error)
+        failed_endpoint = self._exclude(attempt, error)
         step = self._next_step(call, error.end)
         self.context.log.info(
             'attempt_failed',
             request_id=call.request_id,
             endpoint=attempt.placement.primary.endpoint,
-            at_fault=at_fault,
+            at_fault=failed_endpoint,
             how=error.end,
             detail=error.detail,
             sent=self.attempts.sent,
@@ -212,8 +214,8 @@
             self.context.metrics.retries.add(error.end)
             return False
         if step == NextStep.REFUSE:
-            caller = call.caller_time(self._now())
-            raise Refusal.from_endpoint(caller, error.detail)
+            caller_time = call.caller_time(self._now())
+            raise Refusal.from_endpoint(caller_time, error.detail)
         if step == NextStep.RELAY_FAILURE:
             await self.outcome.relay_failure(relay)
             return True
@@ -221,18 +223,21 @@
         return True
 
     def _exclude(self, attempt: Attempt, error: AttemptError) -> EndpointId:
-        """Exclude the endpoint at fault from further attempts; return it."""
+        """Exclude the endpoint of a failed attempt; return it.
+
+        If the error names another endpoint, that one is excluded instead.
+        """
         dispatcher = self.context.dispatcher
-        at_fault = attempt.placement.primary.endpoint
+        failed_endpoint = attempt.placement.primary.endpoint
         if error.faulty_address:
             other = dispatcher.endpoint_at(error.faulty_address)
-            at_fault = other or at_fault
-        self.excluded.add(at_fault)
+            failed_endpoint = other or failed_endpoint
+        self.excluded.add(failed_endpoint)
         if error.end == AttemptEnd.FAILED:
-            self.failed_at.add(at_fault)
+            self.failed_at.add(failed_endpoint)
         if error.faulty_address or attempt.shows_fault(error):
-            dispatcher.record_failure(at_fault)
-        return at_fault
+            dispatcher.record_failure(failed_endpoint)
+        return failed_endpoint
 
     def _may_move(self, call: AdmittedRequest) -> bool:
         is_idempotent = call.route.kind.is_idempotent
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/crashes.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/crashes.py
@@ -39,9 +39,9 @@
         Raises
         ------
         Refusal
-            If too many endpoints crashed while they ran the request.
+            If the request is quarantined, or is suspect and gets no trial now.
         """
-        if not self._may_be_known(call) or self.is_trial:
+        if not self._may_be_suspect(call) or self.is_trial:
             return
         content = call.content.digest
         seconds_left = self.quarantine.seconds_left(content, self._now())
@@ -59,8 +59,8 @@
         self.is_trial = True
 
     def endpoints_to_avoid(self, call: AdmittedRequest) -> set[EndpointId]:
-        """Return endpoints that have another suspect of the same crash."""
-        if not self._may_be_known(call):
+        """Return endpoints that run another suspect of the same crash."""
+        if not self._may_be_suspect(call):
             return set()
         suspects = self.quarantine.other_suspects(call.content.digest)
         return self.context.suspect_places.endpoints_with_any(suspects)
@@ -71,8 +71,8 @@
         endpoint: EndpointId,
         call: AdmittedRequest,
     ) -> Iterator[None]:
-        """Record that an endpoint has a suspect request, until it ends."""
-        if not self._may_be_known(call):
+        """Record that an endpoint runs a possible suspect in this attempt."""
+        if not self._may_be_suspect(call):
             yield
             return
         places = self.context.suspect_places
@@ -85,7 +85,7 @@
 
     def record_answer(self, call: AdmittedRequest) -> None:
         """Record that the request got a complete answer."""
-        if self._may_be_known(call):
+        if self._may_be_suspect(call):
             self.quarantine.record_answer(call.content.digest, self._now())
 
     async def handle_failed_attempt(
@@ -163,13 +163,14 @@
         return Refusal(
             RefusalCause.CRASHES_ENDPOINTS,
             f'content {content.hex()}, {crashes} crashes,'
-            f' quarantined for {seconds:.0f} s',
+            f' may be sent in {seconds:.0f} s',
             retry_after=after_quarantine(
                 seconds, call.caller_time(self._now())
             ),
         )
 
-    def _may_be_known(self, call: AdmittedRequest) -> bool:
+    def _may_be_suspect(self, call: AdmittedRequest) -> bool:
+        """Return whether the quarantine may have an entry for the content."""
         return self.quarantine.book.may_contain(call.content.partial_digest)
 
     def _log_quarantined(
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/attempt.py
@@ -106,10 +106,11 @@
         self.context.pool.release(primary, channel)
 
     def _check_still_accepts(self) -> None:
-        """Raise if the endpoint has requested a backoff meanwhile.
+        """Raise if the endpoint is leaving or has requested a backoff.
 
         Without this, dozens of connections wait for an endpoint that is full,
-        and each sends its request although the endpoint has asked for none.
+        and each sends its request although the endpoint has requested a
+        backoff.
         """
         candidates = self.context.dispatcher.candidates
         if not candidates.still_accepts(self.placement.primary, self._now()):
@@ -150,18 +151,18 @@
         channel: EndpointChannel,
         relay: AnswerRelay,
     ) -> None:
-        watch = asyncio.create_task(self.watch.run(channel))
+        watch_task = asyncio.create_task(self.watch.run(channel))
         try:
             await self._relay_watched(channel, relay)
         except AttemptError as error:
-            if watch.done():
+            if watch_task.done():
                 raise AttemptError(
                     AttemptEnd.SILENT,
                     'the endpoint was silent for too long',
                 ) from error
             raise
         finally:
-            watch.cancel()
+            watch_task.cancel()
 
     async def _relay_watched(
         self,
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/relay.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/relay.py
@@ -22,7 +22,7 @@
     Attributes
     ----------
     last_event_id
-        Id of the last event that the caller has received; -1 before it.
+        Id of the last event that the caller has received; -1 before the first.
     failure
         Head and body of the last answer that reports a failed request.
     """
@@ -86,7 +86,9 @@
         chunk = await channel.read_chunk()
         while chunk:
             on_event()
-            events = [one for one in splitter.feed(chunk) if self._is_new(one)]
+            events = [
+                event for event in splitter.feed(chunk) if self._is_new(event)
+            ]
             if events:
                 await self._forward(head, events)
             chunk = await channel.read_chunk()
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/endpoints/silence.py
@@ -13,8 +13,8 @@
 from .channel import EndpointChannel
 
 _MS = 1000.0
-#: Timeout of the first event, as a multiple of the estimate and an addition in
-#: seconds. It detects an engine that hangs; the errors of estimates are below a
+#: The timeout of the first event is the estimate times this factor, plus these
+#: seconds. It detects an engine that hangs. The errors of estimates are below a
 #: factor of two.
 _FIRST_EVENT_FACTOR = 2.5
 _FIRST_EVENT_EXTRA_SECONDS = 0.7
@@ -23,9 +23,9 @@
 #: after two seconds, and another engine reads the prompt in about 30 ms.
 _SHORT_REQUEST_TIMEOUT_SECONDS = 0.8
 #: Share of the time limit for which a long prompt stays at its engine. It moves
-#: sooner only if it is overdue, is quick to read, and another engine can meet
-#: the objective. Another engine reads the prompt from the start, and in an
-#: overload no engine is faster.
+#: sooner only if its engine has failed repeatedly, or if it is overdue, is
+#: quick to read, and another engine can meet the objective. Another engine
+#: reads the prompt from the start, and in an overload no engine is faster.
 _LONG_TIMEOUT_SHARE = 0.45
 #: Longest reading time of an overdue long prompt that may move sooner, in
 #: milliseconds. Reading a longer prompt again takes seconds of engine time, and
@@ -38,7 +38,8 @@
 #: two seconds, and another engine must read the prompt again before that.
 _PAUSE_FACTOR = 3.5
 _MIN_PAUSE_SECONDS = 0.9
-#: Share of the remaining time after which an idempotent call is retried.
+#: An idempotent call is retried once its silence exceeds this share of the time
+#: that is then left to its deadline.
 _PLAIN_TIMEOUT_SHARE = 0.4
 #: Time since the first event within which a request counts as just begun, in
 #: seconds.
@@ -85,7 +86,10 @@
 
     @property
     def is_endpoint_alive(self) -> bool:
-        """Whether the endpoint has sent anything since the last event."""
+        """Whether the endpoint is active since the last event of the request.
+
+        Events of all requests count.
+        """
         return self._alive_at >= self.last_event_at
 
     @property
@@ -95,7 +99,7 @@
 
     @property
     def had_just_begun(self) -> bool:
-        """Whether the request has run for a short time at most."""
+        """Whether the first event is missing or less than a second old."""
         if self.first_event_at is None:
             return True
         return self._now() - self.first_event_at < _JUST_BEGUN_SECONDS
@@ -125,15 +129,16 @@
             await asyncio.sleep(max(left, _RECHECK_SECONDS))
 
     def _should_move(self) -> bool:
-        return self._may_retry() and self._is_sooner_elsewhere()
+        return self._may_retry() and self._is_worth_moving()
 
     def _may_retry(self) -> bool:
-        """Return whether the shared retry budget permits to end the attempt.
+        """Return whether the shared retry budget has capacity for a retry.
 
-        In a large fleet, the share of an entry in the operator's limit is three
-        retries and a fifth of its requests in ten seconds. Once they are used
-        up, a prompt that is cancelled at a late engine cannot be sent to
-        another engine, and its caller loses an answer that was on its way.
+        In a large fleet, an entry may make three retries, plus one for every
+        five requests, in ten seconds: its share of the operator's limit. Once
+        they are used up, a prompt that is cancelled at a late engine cannot be
+        sent to another engine, and its caller loses an answer that was on its
+        way.
         Plain calls and streams that have begun are ended in any case: their
         endpoints are most likely dead, and the caller may retry.
         """
@@ -143,8 +148,8 @@
         budget = self.context.allowance(service.service)
         return budget.has_capacity(self._now(), self.context.entry_count)
 
-    def _is_sooner_elsewhere(self) -> bool:
-        """Return whether another endpoint would answer sooner.
+    def _is_worth_moving(self) -> bool:
+        """Return whether it is useful to move to another endpoint.
 
         Without this, when all engines are busy for a second, every short
         request moves from one engine to another and is read twice, so that the
@@ -155,7 +160,7 @@
             return True
         if self.is_short:
             return self._alternative_ms(costs) < self.call.route.objective * _MS
-        if self._has_waited_long():
+        if self._must_move():
             return True
         tokens = self.call.terms.prompt_tokens
         if costs.read_ms(tokens) > _MAX_REREAD_MS:
@@ -163,8 +168,11 @@
         left_ms = (self.call.objective_at - self._now()) * _MS
         return self._is_overdue(costs) and self._alternative_ms(costs) < left_ms
 
-    def _has_waited_long(self) -> bool:
-        """Return whether a long prompt moves for any cause of its delay."""
+    def _must_move(self) -> bool:
+        """Return whether a long prompt moves without a new estimate.
+
+        Its engine has failed repeatedly, or has been silent for too long.
+        """
         primary = self.placement.primary.endpoint
         if self.context.dispatcher.failures.has_repeated_failures(primary):
             return True
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/keeper.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/keeper.py
@@ -2,10 +2,11 @@
 
 The platform may be unreachable or slow, or may not serve this entry while other
 entries see changes. The configuration in force therefore never returns to an
-older version. An endpoint that was reported to leave stays out of use, whether
-its registration, one of its answers or a peer reported it. If the platform is
-restored from an older copy, the entry does not restore endpoints that it knows
-to be gone: revisions are compared within one epoch only.
+older version. An endpoint that was reported as leaving is not used again,
+whether its registration, one of its answers or a peer reported it. If the
+platform is restored from an older copy, the copy may list endpoints that are
+gone. The entry does not use them again. The copy has a new epoch, and revisions
+are compared within one epoch only.
 """
 
 import asyncio
@@ -101,7 +102,7 @@
 
     @property
     def age(self) -> float | None:
-        """Return the seconds since the last confirmation; None before it."""
+        """Return the seconds since the last confirmation; None before any."""
         if self.confirmed_at is None:
             return None
         return round(self.clock.monotonic() - self.confirmed_at, 3)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/leaving.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/fleet/leaving.py
@@ -1,8 +1,8 @@
-"""Endpoints that leave, from any source, and the reports sent to peers.
+"""Tracks leaving endpoints from all sources and reports them to peers.
 
-The registration of an endpoint cannot show that it leaves while the platform is
-unreachable. The endpoint therefore also reports it in its answers, and each
-answer reaches only one entry.
+The registration of an endpoint cannot show that it is leaving while the
+platform is unreachable. The endpoint therefore also reports it in its answers,
+and each answer reaches only one entry.
 """
 
 from collections import deque
@@ -13,8 +13,8 @@
 from sycamore_core.routing import EndpointDirectory, EndpointLifetime
 from sycamore_core.telemetry import Log
 
-#: How long peers are sent reports of an endpoint that leaves, in seconds. Three
-#: full updates in a row may be lost.
+#: How long peers are sent reports of a leaving endpoint, in seconds. A peer
+#: may lose three full updates in a row.
 LEAVING_SECONDS = 4.0
 
 
@@ -33,7 +33,7 @@
         self._seen: deque[tuple[float, EndpointLifetime]] = deque()
 
     def record(self, lifetime: EndpointLifetime) -> None:
-        """Record an endpoint that leaves, to be reported to peers."""
+        """Record a leaving endpoint, to be reported to peers."""
         self._seen.append((self.clock.monotonic(), lifetime))
 
     def mark_leaving(self, lifetime: EndpointLifetime) -> bool:
@@ -48,7 +48,7 @@
         lifetimes: Iterable[EndpointLifetime],
         peer: EntryId,
     ) -> None:
-        """Apply a report of a peer that endpoints leave."""
+        """Apply the report of a peer that endpoints are leaving."""
         for lifetime in lifetimes:
             if self.mark_leaving(lifetime):
                 self.log.info(
@@ -68,5 +68,5 @@
     def all_known(self) -> tuple[EndpointLifetime, ...]:
         """Return the endpoints that are reported to a new member."""
         records = self.directory.records.values()
-        listed = (one.lifetime for one in records if one.is_leaving)
+        listed = (record.lifetime for record in records if record.is_leaving)
         return tuple({*listed, *self.recent()})
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/entry_mesh.py
@@ -1,11 +1,11 @@
 """Exchange of load updates between the entries of a fleet.
 
-An entry reports each request that it sends to its own cell at once. It reports
-other changes at intervals, and sends a full update once a second, which repairs
-the loss of earlier messages.
-Once a second it also sends a summary of its cell to one entry of each other
-cell. A new member discovers the others through a few seeds and the entries that
-the seeds name.
+When an entry sends a request to an endpoint, it reports this to the entries of
+its own cell at once. It reports other changes at intervals, and sends a full
+update once a second, which repairs the loss of earlier messages. Once a second
+it also sends a summary of its cell to one entry of each other cell. A new
+member discovers the others through a few seeds and the entries that the seeds
+name.
 """
 
 import time
@@ -152,7 +152,7 @@
             now = self.clock.monotonic()
             self.trials.record_running(now)
             changed = self.registry.pop_changed()
-            if now >= self._next_full_at or self._has_changed():
+            if now >= self._next_full_at or self._pop_other_changes():
                 self._next_full_at = now + FULL_UPDATE_SECONDS
                 self._update_membership(now)
                 self.introduce_to_seeds()
@@ -182,8 +182,11 @@
             self.log.warning('update_unreadable', reason=str(error))
             return message
 
-    def _has_changed(self) -> bool:
-        """Return whether anything but loads must be sent at once."""
+    def _pop_other_changes(self) -> bool:
+        """Return whether settings or leaving endpoints changed.
+
+        Changes count from the last call.
+        """
         current = (self.keeper.version, self.keeper.leaving.recent())
         is_new = current != self._last_sent
         self._last_sent = current
@@ -221,7 +224,7 @@
         reports: tuple[LimitReport, ...],
         now: float,
     ) -> None:
-        """Apply the sends that an entry or a cell reports by endpoint."""
+        """Count the requests that an entry or a cell has sent by endpoint."""
         limits = self.context.dispatcher.limits
         for lifetime in limits.hear(source, reports, now):
             self.log.info(
@@ -263,7 +266,7 @@
         self.newer_settings.compare(peer, message.settings_version)
 
     def _add_members(self, cell: CellMembers, now: float) -> None:
-        """Add the members that a peer names; contact those of this cell."""
+        """Add the members that a peer names; contact those of the own cell."""
         known = self.membership.members.keys()
         added = set(cell.addresses).difference(known)
         added.discard(self.membership.address)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/mesh/updates.py
@@ -71,8 +71,8 @@
         Parameters
         ----------
         receiver
-            Address of that entry. An entry that has requests in this cell has
-            reported them itself and is known by its name.
+            Address of that entry. The requests of that entry in this cell are
+            left out: it adds them itself, from newer figures.
         """
         name = self.membership.members[receiver].name
         context = self.context
@@ -97,7 +97,7 @@
         self,
         endpoints: Iterable[EndpointId],
     ) -> dict[ZoneId, set[EndpointId]]:
-        """Return the endpoints of other cells among these, by zone."""
+        """Return those endpoints that belong to other cells, by zone."""
         owned: dict[ZoneId, set[EndpointId]] = {}
         cells = self.context.dispatcher.cells
         for endpoint in endpoints:
@@ -108,7 +108,7 @@
 
     def _busy_in(self, zone: ZoneId) -> list[EndpointId]:
         busy = self.registry.own.keys() | self.registry.peer_loads.keys()
-        return sorted(one for one in busy if self._zone_of(one) == zone)
+        return sorted(name for name in busy if self._zone_of(name) == zone)
 
     def _limits_in(
         self,
@@ -118,7 +118,9 @@
     ) -> tuple[LimitReport, ...]:
         directory = self.context.keeper.directory
         records = directory.records.values()
-        endpoints = {one.endpoint for one in records if one.zone == zone}
+        endpoints = {
+            record.endpoint for record in records if record.zone == zone
+        }
         return self.limits.summary(endpoints, now, receiver)
 
     def _zone_of(self, endpoint: EndpointId) -> ZoneId | None:
@@ -126,9 +128,9 @@
         return None if record is None else record.zone
 
     def _all_living(self, *, own_cell: bool) -> tuple[CellMembers, ...]:
-        """Return the entries alive in this cell or in all cells, by zone."""
+        """Return the entries alive in the own cell or in all cells, by zone."""
         known = self.membership
-        zones = {one.zone for one in known.members.values()}
+        zones = {member.zone for member in known.members.values()}
         if own_cell:
             zones = {zone for zone in zones if known.is_own_cell(zone)}
         return tuple(self._living(zone) for zone in sorted(zones))
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/candidates.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/candidates.py
@@ -48,7 +48,7 @@
         excluded: Iterable[EndpointId],
         now: float,
     ) -> dict[EndpointId, EndpointRecord]:
-        """Return the endpoints that accept a request, by their reports."""
+        """Return the endpoints that accept a request now, by their ids."""
         records = self._registered(service, excluded)
         if not (self.limits.is_empty and self.backoffs.is_empty):
             records = [
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/dispatcher.py
@@ -166,11 +166,11 @@
             self.backoffs.record_send(record.lifetime, now)
 
     def record_order(self, record: EndpointRecord) -> None:
-        """Count an order towards the rate limit; it arrives like a request."""
+        """Count an order towards the rate limit, like a request."""
         self.limits.sent(record.lifetime, self.clock.monotonic())
 
     def record_activity(self, endpoint: EndpointId) -> None:
-        """Record that an endpoint sent something, so it is alive."""
+        """Record that an endpoint has sent an event, so it is alive."""
         self.failures.record_activity(endpoint, self.clock.monotonic())
 
     def record_arrival(self, costs: EngineCosts, prompt_tokens: int) -> None:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
@@ -65,7 +65,8 @@
         failed_at
             Excluded endpoints that are used again if no other endpoint
             accepts the request. Without this, if one replica of three is left
-            and fails one request in seven, each of these requests is lost.
+            and fails one request in seven, the requests that it fails are
+            lost, because no other endpoint can retry them.
         avoided
             Endpoints that are used only if no other endpoint is free.
 
@@ -92,8 +93,8 @@
 
         Without this, the entry would not know of requests that its peers
         placed while the prompt arrived, which takes 75 ms for 900,000 tokens.
-        It would place parts that take seconds to read ahead of these requests
-        while half of the engines are idle.
+        It would place parts that take seconds to read before these requests,
+        at the same engines, while half of the engines are idle.
         """
         if self.call.service.engine is None:
             return
@@ -135,9 +136,10 @@
         placement: Placement,
         excluded: Set[EndpointId],
     ) -> None:
-        """Refuse a prompt whose interference exceeds its value.
+        """Refuse a prompt that delays other requests by more than its value.
 
-        A prompt that was sent to an endpoint before is not refused, because
+        The value is the weight, and less if the answer is late. The check is
+        skipped once an endpoint is ruled out: the prompt was sent there, and
         the work of reading it would be lost.
         """
         costs = self.call.service.engine
@@ -183,7 +185,7 @@
         service = self.call.service
         return bool(candidates.accepting(service, excluded, self._now()))
 
-    def _has_untried(self, excluded: Iterable[EndpointId]) -> bool:
+    def _has_permitted(self, excluded: Iterable[EndpointId]) -> bool:
         """Return whether there are endpoints that are not excluded."""
         return bool(self._usable_endpoints().difference(excluded))
 
@@ -193,33 +195,33 @@
         return {record.endpoint for record in usable}
 
     def _build_refusal(self, excluded: Set[EndpointId]) -> Refusal:
-        caller = self.call.caller_time(self._now())
+        caller_time = self.call.caller_time(self._now())
         if not self._usable_endpoints():
             return Refusal(
                 RefusalCause.NO_ENDPOINT,
-                retry_after=after_start(0, caller),
+                retry_after=after_start(0, caller_time),
             )
         wait = self._shortest_wait(())
         if wait.is_backoff:
             return Refusal(
                 RefusalCause.ENDPOINTS_BACKING_OFF,
                 f'all endpoints are backing off for {wait.seconds:.2f} s',
-                retry_after=after_backoff(wait.seconds, caller),
+                retry_after=after_backoff(wait.seconds, caller_time),
             )
-        if not self._has_untried(excluded):
-            return Refusal.from_endpoint(caller)
+        if not self._has_permitted(excluded):
+            return Refusal.from_endpoint(caller_time)
         wait = self._shortest_wait(excluded)
         if wait.seconds:
             return Refusal(
                 RefusalCause.RATE_LIMITED,
                 f'all endpoints are at their limit for {wait.seconds:.2f} s',
-                retry_after=after_limit(wait.seconds, caller),
+                retry_after=after_limit(wait.seconds, caller_time),
             )
         short_requests = self.context.dispatcher.loads.short_requests
         return Refusal(
             RefusalCause.OVERLOADED,
             f'no free slot at {len(self._usable_endpoints())} endpoints',
-            retry_after=after_full(short_requests.slot_seconds, caller),
+            retry_after=after_full(short_requests.slot_seconds, caller_time),
         )
 
     def _shortest_wait(self, excluded: Iterable[EndpointId]) -> Wait:
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_mesh.py
@@ -14,7 +14,7 @@
 from .builders_mesh import entries, queued_changes_of, running
 
 
-async def test_configuration_reaches_an_entry_that_is_refused() -> None:
+async def test_configuration_reaches_an_entry_without_platform() -> None:
     """Guards against an entry that serves a workspace that has been closed.
 
     The platform refuses one entry while the operator revokes a key. That entry
@@ -32,11 +32,11 @@
                 await asyncio.sleep(0.02)
 
 
-async def test_leaving_endpoint_is_known_to_an_entry_that_is_refused() -> None:
+async def test_leaving_endpoint_is_known_to_an_entry_without_platform() -> None:
     """Guards against requests that are lost when their endpoint exits.
 
-    One entry cannot read from the platform that the endpoint leaves, and would
-    go on sending requests there.
+    One entry cannot reach the platform, so it does not read that the endpoint
+    is leaving. It would go on sending requests to this endpoint.
     """
     async with running(entries(2)) as (first, second):
         second.context.keeper.feed.is_away = True
@@ -68,7 +68,7 @@
     """Guards against a restarted entry that overloads full engines.
 
     It would send requests to the engines that the other entries have filled,
-    and the callers of all of them would wait. The next full update is ten
+    and the callers of all entries would wait. The next full update is ten
     minutes away in this test.
     """
     monkeypatch.setattr(entry_mesh, 'FULL_UPDATE_SECONDS', 600)
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_patience.py
@@ -24,7 +24,7 @@
 STREAM = route(RouteKind.RESUMABLE_STREAM, MODEL)
 #: A stream whose callers would wait for half a minute at a silent engine.
 LONG_STREAM = msgspec.structs.replace(STREAM, objective=20, time_limit=60)
-#: Prompt lengths in tokens, such as of a report and of an archive.
+#: Prompt lengths in tokens: about those of a report and of an archive.
 MEDIUM_PROMPT = '40000'
 LONG_PROMPT = '100000'
 #: Longer than a short request waits before it may move, in seconds.
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize('is_alive', [True, False])
-async def test_busy_engine_does_not_count_as_faulty(
+async def test_only_silent_engine_counts_as_faulty(
     is_alive: bool,
 ) -> None:
     """Guards against treating a busy engine as faulty.
@@ -167,7 +167,7 @@
     """Guards against long waits at an engine that accepts but never answers.
 
     A prompt of 40,000 tokens that should take half a second would wait for
-    nearly half of its caller's time, although another engine is free.
+    nearly half of its time limit, although another engine is free.
     """
     silent = RawEndpoint('e1', never_reply)
     idle = RawEndpoint('e2', answer_at_once)
@@ -181,7 +181,7 @@
 
 
 async def test_medium_prompt_stays_behind_later_part() -> None:
-    """Guards against moving a prompt that a later part has overtaken.
+    """Guards against moving a prompt because a later part is read first.
 
     The prompt would be read twice, although its engine meets the objective.
     """
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_reservations.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/tests/test_reservations.py
@@ -88,7 +88,7 @@
 async def test_caller_is_refused_if_no_engine_reserves_memory(
     order: Script,
 ) -> None:
-    """Guards against an answer that hides that the request has not run."""
+    """Guards against an answer that does not show that nothing has run."""
     fleet = engines(ANSWER, order)
     async with running_entry(STREAM, *fleet) as entry:
         answer = await ask(entry)
@@ -116,7 +116,7 @@
     assert max(one.orders.count('reserve') for one in fleet) == 3
 
 
-async def test_orders_count_against_the_rate_that_an_engine_names() -> None:
+async def test_orders_count_against_the_rate_limit_of_an_engine() -> None:
     """Guards against orders that exceed the rate limit of an engine."""
     fleet = engines(ANSWER)
     async with running_entry(STREAM, *fleet) as entry:
@@ -128,7 +128,10 @@
 
 
 def reported_sends(entry: TestEntry, engine: Engine) -> int:
-    """Return the sends to an engine that are reported to peers."""
+    """Return how many requests to an engine are reported to peers.
+
+    The engine first states a rate limit, as no sends are reported without one.
+    """
     limits = entry.context.dispatcher.limits
     now = entry.context.clock.monotonic()
     record = engine.record(MODEL)
