--- a/packages/sycamore-core/src/sycamore_core/cli/tests/test_request_log.py
+++ b/packages/sycamore-core/src/sycamore_core/cli/tests/test_request_log.py
@@ -44,13 +44,13 @@
     """
     refused = (
         '{"time": "1", "event": "forwarding_refused", "request_id": "q7",'
-        ' "cause": "harmful", "detail": "interference 90.0, weight 60.5",'
+        ' "cause": "harmful", "detail": "harm 90.0, weight 60.5",'
         ' "retry_after": 4.2, "settings_version": 9, "settings_age": 0.4,'
         ' "endpoints": 16, "entries": 5}'
     )
     summary = summarize(lines_of_request('q7', [refused]))
     assert summary == (
-        'refused as harmful (interference 90.0, weight 60.5), retry after 4.2'
+        'refused as harmful (harm 90.0, weight 60.5), retry after 4.2'
         ' s; decided with settings 9, confirmed 0.4 s earlier, 16 endpoints'
         ' and 5 entries known; the end of the request is not in these logs'
     )
--- a/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
+++ b/packages/sycamore-entry/src/sycamore_entry/forwarding/placement/placing.py
@@ -153,7 +153,7 @@
             return
         raise Refusal(
             RefusalCause.INTERFERENCE,
-            f'interference {plan.interference:.1f},'
+            f'harm {plan.interference:.1f},'
             f' weight {request.weight:.1f},'
             f' expected {plan.expected_ms:.0f} ms',
             retry_after=after_overload(self.call.caller_time(now)),
